--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -311,7 +311,7 @@
 	if len(g.core.Conf().Voters) > 0 {
 		return fault.New(fault.Conflict, "this replica already belongs to a group")
 	}
-	snap := raft.Form(self, nil)
+	snap := raft.InitialSnapshot(self, nil)
 	st := raft.State{Term: snap.Term, Commit: snap.Index}
 	if err := g.writeNow(&logReset{snap: snap, state: &st}); err != nil {
 		return err
--- a/raft/core.go
+++ b/raft/core.go
@@ -106,7 +106,7 @@
 }
 
 // Form returns the snapshot from which the first replica of a group starts.
-func Form(p Peer, data []byte) Snapshot {
+func InitialSnapshot(p Peer, data []byte) Snapshot {
 	return Snapshot{Index: 1, Term: 1, Conf: Conf{Voters: []Peer{p}}, Data: data}
 }
 
--- a/raft/raft_test.go
+++ b/raft/raft_test.go
@@ -445,7 +445,7 @@
 // TestALearnerThatNeverAnsweredLacksEverything: a leader whose log is short
 // must not take a silent learner for one that has caught up.
 func TestALearnerThatNeverAnsweredLacksEverything(t *testing.T) {
-	snap := Form(Peer{ID: "a"}, nil)
+	snap := InitialSnapshot(Peer{ID: "a"}, nil)
 	c := New(Options{ID: "a", Election: 10, Heartbeat: 2, MaxBatch: 4, Rand: rand.New(rand.NewPCG(1, 1))}, State{Term: 1, Commit: 1}, snap, nil)
 	c.Campaign()
 	for rd := c.Ready(); !rd.Empty(); rd = c.Ready() {
