--- a/confstore/history_test.go
+++ b/confstore/history_test.go
@@ -90,7 +90,7 @@
 	store *Store
 	wait  map[uint64]pending
 	reads map[uint64]int
-	held  []raft.Read
+	held  []raft.ReadResult
 }
 
 type pending struct {
--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -42,8 +42,8 @@
 	sm      stateMachine
 	inbox   *ring.Ring[func()]
 	waiters map[uint64]waiter
-	reads   map[uint64]chan raft.Read
-	waiting []raft.Read
+	reads   map[uint64]chan raft.ReadResult
+	waiting []raft.ReadResult
 	readID  uint64
 	ticks   int
 	role    raft.Role
@@ -79,7 +79,7 @@
 func openGroup(r *replicas, id int, w *logWriter, l wal.Loaded, m stateMachine) (*group, error) {
 	g := &group{
 		id: id, r: r, writer: w, sm: m, inbox: ring.New[func()](inboxSize),
-		waiters: map[uint64]waiter{}, reads: map[uint64]chan raft.Read{},
+		waiters: map[uint64]waiter{}, reads: map[uint64]chan raft.ReadResult{},
 	}
 	g.core = raft.New(raft.Options{
 		ID: r.id, Election: electionTicks, Heartbeat: heartbeatTicks, MaxBatch: maxBatch, Stall: stallTicks,
@@ -236,7 +236,7 @@
 	w.done <- result
 }
 
-func (g *group) answerReads(rs []raft.Read) {
+func (g *group) answerReads(rs []raft.ReadResult) {
 	g.waiting = append(g.waiting, rs...)
 	kept := g.waiting[:0]
 	for _, r := range g.waiting {
@@ -412,7 +412,7 @@
 // read waits until the state machine reflects all that was committed before,
 // and runs f on it.
 func (g *group) read(wait time.Duration, f func()) error {
-	done := make(chan raft.Read, 1)
+	done := make(chan raft.ReadResult, 1)
 	ok := g.post(func() {
 		g.readID++
 		g.reads[g.readID] = done
--- a/raft/core.go
+++ b/raft/core.go
@@ -88,7 +88,7 @@
 
 	early    []Message
 	messages []Message
-	done     []Read
+	done     []ReadResult
 	restored *Snapshot
 }
 
@@ -226,7 +226,7 @@
 func (c *Core) ReadIndex(id uint64) {
 	t, _ := c.log.term(c.log.commit)
 	if c.role != Leader || t != c.state.Term {
-		c.done = append(c.done, Read{ID: id})
+		c.done = append(c.done, ReadResult{ID: id})
 		return
 	}
 	c.round++
@@ -363,7 +363,7 @@
 	c.heir = ""
 	c.timeout = c.opt.Election + c.opt.Rand.IntN(c.opt.Election)
 	for _, r := range c.reads {
-		c.done = append(c.done, Read{ID: r.id})
+		c.done = append(c.done, ReadResult{ID: r.id})
 	}
 	c.reads = nil
 }
--- a/raft/replicate.go
+++ b/raft/replicate.go
@@ -240,7 +240,7 @@
 		if n < c.quorum() {
 			return
 		}
-		c.done = append(c.done, Read{c.reads[0].id, c.reads[0].index, true})
+		c.done = append(c.done, ReadResult{c.reads[0].id, c.reads[0].index, true})
 		c.reads = c.reads[1:]
 	}
 }
--- a/raft/types.go
+++ b/raft/types.go
@@ -166,7 +166,7 @@
 
 // Read is a read that has been confirmed: the state machine may answer it
 // once it has applied Index.
-type Read struct {
+type ReadResult struct {
 	ID    uint64
 	Index uint64
 	// OK is false if the replica stopped leading before it was confirmed.
@@ -191,7 +191,7 @@
 	// replica may not have yet.
 	Committed []Entry
 	// Reads are confirmed or failed reads.
-	Reads []Read
+	Reads []ReadResult
 }
 
 // MustSave tells whether there is something to persist.
