--- a/confstore/history_test.go
+++ b/confstore/history_test.go
@@ -121,7 +121,7 @@
 	}
 	for i := range 3 {
 		o := raft.Options{ID: fmt.Sprint(i), Election: 10, Heartbeat: 2, MaxBatch: 8, Rand: g.rng}
-		core := raft.New(o, raft.State{Term: 1, Commit: 1}, raft.Snapshot{Index: 1, Term: 1, Conf: conf}, nil)
+		core := raft.New(o, raft.HardState{Term: 1, Commit: 1}, raft.Snapshot{Index: 1, Term: 1, Conf: conf}, nil)
 		g.members = append(g.members, &member{core: core, store: New(), wait: map[uint64]pending{}, reads: map[uint64]int{}})
 	}
 	return g
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -312,7 +312,7 @@
 		return fault.New(fault.Conflict, "this replica already belongs to a group")
 	}
 	snap := raft.InitialSnapshot(self, nil)
-	st := raft.State{Term: snap.Term, Commit: snap.Index}
+	st := raft.HardState{Term: snap.Term, Commit: snap.Index}
 	if err := g.writeNow(&logReset{snap: snap, state: &st}); err != nil {
 		return err
 	}
--- a/internal/node/stall_test.go
+++ b/internal/node/stall_test.go
@@ -54,7 +54,7 @@
 	return l.replicaLog.Save(r)
 }
 
-func (l *stallingLog) Reset(snap raft.Snapshot, st raft.State, entries []raft.Entry) error {
+func (l *stallingLog) Reset(snap raft.Snapshot, st raft.HardState, entries []raft.Entry) error {
 	l.disk.wait()
 	return l.replicaLog.Reset(snap, st, entries)
 }
--- a/internal/node/writer.go
+++ b/internal/node/writer.go
@@ -16,9 +16,9 @@
 	// Save persists a Ready.
 	Save(r *raft.Ready) error
 	// Reset replaces everything by a snapshot, a state and the entries after it.
-	Reset(snap raft.Snapshot, st raft.State, entries []raft.Entry) error
+	Reset(snap raft.Snapshot, st raft.HardState, entries []raft.Entry) error
 	// State returns the state last saved.
-	State() raft.State
+	State() raft.HardState
 	// Close closes the files.
 	Close()
 }
@@ -39,7 +39,7 @@
 // logReset replaces the log. The state is the one last saved if it is nil.
 type logReset struct {
 	snap  raft.Snapshot
-	state *raft.State
+	state *raft.HardState
 	tail  []raft.Entry
 }
 
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -40,13 +40,13 @@
 	// Base is set in a log's first record: the index of the snapshot that
 	// the log continues.
 	Base    uint64
-	State   *raft.State
+	State   *raft.HardState
 	Entries []raft.Entry
 }
 
 // Loaded is what was found on opening.
 type Loaded struct {
-	State    raft.State
+	State    raft.HardState
 	Snapshot raft.Snapshot
 	Entries  []raft.Entry
 }
@@ -73,7 +73,7 @@
 	id   string
 }
 
-func voteOf(s raft.State) vote { return vote{s.Term, s.Vote} }
+func voteOf(s raft.HardState) vote { return vote{s.Term, s.Vote} }
 
 // Open opens or creates the folder and returns what it holds.
 func Open(dir string) (*WAL, Loaded, error) {
@@ -285,7 +285,7 @@
 
 // Reset replaces the folder's content by a snapshot, a state and the entries
 // after the snapshot. The new files take the place of the old ones whole.
-func (w *WAL) Reset(snap raft.Snapshot, st raft.State, entries []raft.Entry) error {
+func (w *WAL) Reset(snap raft.Snapshot, st raft.HardState, entries []raft.Entry) error {
 	w.awaitDisk()
 	payload, err := msgpack.Marshal(&snap)
 	if err != nil {
@@ -307,7 +307,7 @@
 	return w.reopen(snap, st, int64(len(log)))
 }
 
-func (w *WAL) reopen(snap raft.Snapshot, st raft.State, size int64) error {
+func (w *WAL) reopen(snap raft.Snapshot, st raft.HardState, size int64) error {
 	_ = w.f.Close()
 	f, err := os.OpenFile(w.path(logName), os.O_RDWR, 0o644)
 	if err != nil {
@@ -372,7 +372,7 @@
 }
 
 // State returns the state last saved.
-func (w *WAL) State() raft.State { return w.last.State }
+func (w *WAL) State() raft.HardState { return w.last.State }
 
 // WriteFile puts a file into a folder whole and synced.
 func WriteFile(dir, name string, data []byte) error { return replaceFile(dir, name, data) }
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -24,9 +24,9 @@
 	dir := t.TempDir()
 	w, _, err := Open(dir)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(w.Reset(raft.Snapshot{Index: 1, Term: 1}, raft.State{Term: 1}, nil)).To(gomega.Succeed())
+	g.Expect(w.Reset(raft.Snapshot{Index: 1, Term: 1}, raft.HardState{Term: 1}, nil)).To(gomega.Succeed())
 	for i := uint64(2); i < 10; i++ {
-		g.Expect(w.Save(&raft.Ready{State: &raft.State{Term: 1, Commit: i}, Entries: entries(i, i, 1)})).To(gomega.Succeed())
+		g.Expect(w.Save(&raft.Ready{State: &raft.HardState{Term: 1, Commit: i}, Entries: entries(i, i, 1)})).To(gomega.Succeed())
 	}
 	w.Close()
 	return dir
@@ -100,7 +100,7 @@
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			w, _, err := Open(dir)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
-			g.Expect(w.Reset(raft.Snapshot{Index: 5, Term: c.term}, raft.State{Term: 2}, nil)).To(gomega.Succeed())
+			g.Expect(w.Reset(raft.Snapshot{Index: 5, Term: c.term}, raft.HardState{Term: 2}, nil)).To(gomega.Succeed())
 			w.Close()
 			g.Expect(os.WriteFile(filepath.Join(dir, logName), old, 0o644)).To(gomega.Succeed())
 			_, got, err := Open(dir)
--- a/raft/core.go
+++ b/raft/core.go
@@ -56,8 +56,8 @@
 type Core struct {
 	opt   Options
 	role  Role
-	state State
-	saved State
+	state HardState
+	saved HardState
 	log   raftLog
 	conf  Conf
 	// confIndex is the index of the entry that conf comes from.
@@ -95,7 +95,7 @@
 // New returns a replica with what it persisted: its state, its snapshot and
 // the entries after it. A replica that is new has none of them; it waits for
 // a leader to add it to a group.
-func New(o Options, st State, snap Snapshot, entries []Entry) *Core {
+func New(o Options, st HardState, snap Snapshot, entries []Entry) *Core {
 	c := &Core{opt: o, state: st, saved: st}
 	c.log = raftLog{snap: snap, entries: entries, commit: max(st.Commit, snap.Index), applied: snap.Index}
 	c.log.stable = c.log.last()
--- a/raft/raft_test.go
+++ b/raft/raft_test.go
@@ -10,7 +10,7 @@
 
 // disk is what a replica has persisted.
 type disk struct {
-	state   State
+	state   HardState
 	snap    Snapshot
 	entries []Entry
 }
@@ -86,7 +86,7 @@
 		conf.Voters = append(conf.Voters, Peer{ID: fmt.Sprintf("r%d", i)})
 	}
 	for _, p := range conf.Voters {
-		d := &disk{snap: Snapshot{Index: 1, Term: 1, Conf: conf}, state: State{Term: 1, Commit: 1}}
+		d := &disk{snap: Snapshot{Index: 1, Term: 1, Conf: conf}, state: HardState{Term: 1, Commit: 1}}
 		c.add(p.ID, d)
 	}
 	return c
@@ -446,7 +446,7 @@
 // must not take a silent learner for one that has caught up.
 func TestALearnerThatNeverAnsweredLacksEverything(t *testing.T) {
 	snap := InitialSnapshot(Peer{ID: "a"}, nil)
-	c := New(Options{ID: "a", Election: 10, Heartbeat: 2, MaxBatch: 4, Rand: rand.New(rand.NewPCG(1, 1))}, State{Term: 1, Commit: 1}, snap, nil)
+	c := New(Options{ID: "a", Election: 10, Heartbeat: 2, MaxBatch: 4, Rand: rand.New(rand.NewPCG(1, 1))}, HardState{Term: 1, Commit: 1}, snap, nil)
 	c.Campaign()
 	for rd := c.Ready(); !rd.Empty(); rd = c.Ready() {
 		c.Advance(rd)
@@ -469,7 +469,7 @@
 	const election = 10
 	conf := Conf{Voters: []Peer{{ID: "a"}, {ID: "b"}}, Learners: []Peer{{ID: "c"}}}
 	o := Options{ID: "c", Election: election, Heartbeat: 2, MaxBatch: 4, Rand: rand.New(rand.NewPCG(1, 1))}
-	c := New(o, State{Term: 2, Commit: 1}, Snapshot{Index: 1, Term: 1, Conf: conf}, nil)
+	c := New(o, HardState{Term: 2, Commit: 1}, Snapshot{Index: 1, Term: 1, Conf: conf}, nil)
 	c.Step(Message{Type: MsgHeartbeat, From: "a", To: "c", Term: 2})
 	if c.Leader() != "a" {
 		t.Fatalf("leader %q, expected a", c.Leader())
--- a/raft/slowdisk_test.go
+++ b/raft/slowdisk_test.go
@@ -26,7 +26,7 @@
 	saving *Ready
 	done   time.Duration
 	// voted is the last state given to the disk.
-	voted State
+	voted HardState
 }
 
 // flight is a message on its way.
@@ -57,8 +57,8 @@
 	}
 	for i, p := range conf.Voters {
 		o := Options{ID: p.ID, Election: 20, Heartbeat: 3, MaxBatch: 256, Stall: slowStall, Rand: rand.New(rand.NewPCG(seed, uint64(i)))}
-		c := New(o, State{Term: 1, Commit: 1}, Snapshot{Index: 1, Term: 1, Conf: conf}, nil)
-		s.replicas[p.ID] = &slowReplica{core: c, voted: State{Term: 1}}
+		c := New(o, HardState{Term: 1, Commit: 1}, Snapshot{Index: 1, Term: 1, Conf: conf}, nil)
+		s.replicas[p.ID] = &slowReplica{core: c, voted: HardState{Term: 1}}
 		s.ids = append(s.ids, p.ID)
 	}
 	return s
--- a/raft/stall_test.go
+++ b/raft/stall_test.go
@@ -281,7 +281,7 @@
 func TestAnswersOfAnEarlierTermAreNotSentAfterIt(t *testing.T) {
 	conf := Conf{Voters: []Peer{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 	o := Options{ID: "c", Election: 10, Heartbeat: 2, MaxBatch: 4, Rand: rand.New(rand.NewPCG(1, 1))}
-	c := New(o, State{Term: 2, Commit: 1}, Snapshot{Index: 1, Term: 1, Conf: conf}, nil)
+	c := New(o, HardState{Term: 2, Commit: 1}, Snapshot{Index: 1, Term: 1, Conf: conf}, nil)
 	appendOf := func(from string, term, index uint64) Message {
 		return Message{
 			Type: MsgAppend, From: from, To: "c", Term: term, Index: index - 1, LogTerm: 1,
@@ -308,7 +308,7 @@
 func TestStalledFollowerKeepsLittle(t *testing.T) {
 	conf := Conf{Voters: []Peer{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 	o := Options{ID: "c", Election: 10, Heartbeat: 2, MaxBatch: 4, Rand: rand.New(rand.NewPCG(1, 1))}
-	c := New(o, State{Term: 2, Commit: 1}, Snapshot{Index: 1, Term: 1, Conf: conf}, nil)
+	c := New(o, HardState{Term: 2, Commit: 1}, Snapshot{Index: 1, Term: 1, Conf: conf}, nil)
 	const entries = 3 * maxUnsaved
 	term := uint64(1)
 	for i := uint64(2); i < entries; i++ {
--- a/raft/types.go
+++ b/raft/types.go
@@ -89,7 +89,7 @@
 }
 
 // State is what must survive a restart beside log and snapshot.
-type State struct {
+type HardState struct {
 	Term   uint64
 	Vote   string
 	Commit uint64
@@ -177,7 +177,7 @@
 // Messages are empty while an earlier Ready is being persisted.
 type Ready struct {
 	// State must be persisted if it is not nil.
-	State *State
+	State *HardState
 	// Snapshot replaces the log and the state machine if it is not nil.
 	Snapshot *Snapshot
 	// Entries must be persisted; they replace any with the same or a higher
--- a/repair/availability_test.go
+++ b/repair/availability_test.go
@@ -31,7 +31,7 @@
 type simReplica struct {
 	raft.Peer
 	core    *raft.Core
-	state   raft.State
+	state   raft.HardState
 	snap    raft.Snapshot
 	entries []raft.Entry
 	known   time.Duration
@@ -72,7 +72,7 @@
 	}
 	for i, r := range f.replicas {
 		if i < o.Target {
-			r.snap, r.state = raft.Snapshot{Index: 1, Term: 1, Conf: conf}, raft.State{Term: 1, Commit: 1}
+			r.snap, r.state = raft.Snapshot{Index: 1, Term: 1, Conf: conf}, raft.HardState{Term: 1, Commit: 1}
 		}
 		f.boot(r)
 	}
