--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -316,7 +316,7 @@
 	conf := g.core.Conf()
 	health := map[string]repair.Health{}
 	for _, p := range append(append([]raft.Peer(nil), conf.Voters...), conf.Learners...) {
-		if ticks, lag, ok := g.core.Silent(p.ID); ok {
+		if ticks, lag, ok := g.core.PeerStatus(p.ID); ok {
 			if conf.Voter(p.ID) {
 				// A voter whose disk confirms nothing is as good as silent; a learner
 				// may be at work on a large snapshot.
--- a/raft/core.go
+++ b/raft/core.go
@@ -148,7 +148,7 @@
 // replica, and how many entries it lacks; false if this is not the leader.
 //
 // A replica that has confirmed nothing yet lacks everything.
-func (c *Core) Silent(id string) (ticks int, lag uint64, ok bool) {
+func (c *Core) PeerStatus(id string) (ticks int, lag uint64, ok bool) {
 	p := c.peers[id]
 	if c.role != Leader || p == nil {
 		return 0, 0, false
--- a/raft/raft_test.go
+++ b/raft/raft_test.go
@@ -310,7 +310,7 @@
 	}
 	conf := l.core.Conf()
 	for _, p := range conf.Learners {
-		if _, lag, ok := l.core.Silent(p.ID); ok && lag == 0 {
+		if _, lag, ok := l.core.PeerStatus(p.ID); ok && lag == 0 {
 			if l.core.ProposeConf(conf.With(p, true)) == nil {
 				c.work(l, 0)
 			}
@@ -454,7 +454,7 @@
 	if err := c.ProposeConf(c.Conf().With(Peer{ID: "b"}, false)); err != nil {
 		t.Fatal(err)
 	}
-	if _, lag, ok := c.Silent("b"); !ok || lag < 1<<60 {
+	if _, lag, ok := c.PeerStatus("b"); !ok || lag < 1<<60 {
 		t.Fatalf("lag %d of a learner that never answered", lag)
 	}
 }
--- a/repair/availability_test.go
+++ b/repair/availability_test.go
@@ -207,7 +207,7 @@
 func (f *simFleet) look(l *simReplica) {
 	g := Group{Conf: l.core.Conf(), Self: l.ID, Health: map[string]Health{}}
 	for _, p := range slices.Concat(g.Conf.Voters, g.Conf.Learners) {
-		if ticks, lag, ok := l.core.Silent(p.ID); ok {
+		if ticks, lag, ok := l.core.PeerStatus(p.ID); ok {
 			g.Health[p.ID] = Health{Silent: time.Duration(ticks) * simTick, Lag: lag}
 		}
 	}
@@ -240,7 +240,7 @@
 		if r == nil || !f.reaches(r) {
 			continue
 		}
-		if _, lag, ok := l.core.Silent(v.ID); v.ID == l.ID || ok && lag <= f.opt.MaxLag {
+		if _, lag, ok := l.core.PeerStatus(v.ID); v.ID == l.ID || ok && lag <= f.opt.MaxLag {
 			sound++
 		}
 	}
