--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -320,7 +320,7 @@
 			if conf.Voter(p.ID) {
 				// A voter whose disk confirms nothing is as good as silent; a learner
 				// may be at work on a large snapshot.
-				ticks = max(ticks, g.core.Unsaved(p.ID))
+				ticks = max(ticks, g.core.UnsavedTicks(p.ID))
 			}
 			health[p.ID] = repair.Health{Silent: time.Duration(ticks) * raftTick, Lag: lag}
 		}
--- a/internal/node/stall.go
+++ b/internal/node/stall.go
@@ -41,7 +41,7 @@
 	voters := g.core.Conf().Voters
 	stalled := 0
 	for _, v := range voters {
-		if v.ID == g.r.id && ownStalls || g.core.Unsaved(v.ID) >= stallTicks {
+		if v.ID == g.r.id && ownStalls || g.core.UnsavedTicks(v.ID) >= stallTicks {
 			stalled++
 		}
 	}
--- a/raft/core.go
+++ b/raft/core.go
@@ -137,7 +137,7 @@
 // Unsaved returns for how many ticks another replica has confirmed nothing of what it
 // lacks, though it may answer: its disk stalls. It is 0 if this is not the leader. Of the
 // own disk SaveTicks tells.
-func (c *Core) Unsaved(id string) int {
+func (c *Core) UnsavedTicks(id string) int {
 	if p := c.peers[id]; c.role == Leader && p != nil && id != c.opt.ID {
 		return p.unsaved
 	}
