--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -308,7 +308,7 @@
 		return
 	}
 	g.compacting = true
-	g.writer.jobs.Offer(writeJob{reset: &logReset{snap: snap, tail: g.core.Tail()}})
+	g.writer.jobs.Offer(writeJob{reset: &logReset{snap: snap, tail: g.core.EntriesAfterSnapshot()}})
 }
 
 // members is what the decision about the membership looks at.
--- a/raft/core.go
+++ b/raft/core.go
@@ -372,4 +372,4 @@
 
 // Tail returns the entries after the snapshot, for a caller that rewrites its
 // log.
-func (c *Core) Tail() []Entry { return slices.Clone(c.log.entries) }
+func (c *Core) EntriesAfterSnapshot() []Entry { return slices.Clone(c.log.entries) }
--- a/repair/availability_test.go
+++ b/repair/availability_test.go
@@ -108,7 +108,7 @@
 	}
 	if len(r.entries) > simLog {
 		if snap, ok := r.core.Compact(r.core.Applied(), nil); ok {
-			r.snap, r.entries = snap, r.core.Tail()
+			r.snap, r.entries = snap, r.core.EntriesAfterSnapshot()
 		}
 	}
 }
