--- a/confstore/history_test.go
+++ b/confstore/history_test.go
@@ -161,7 +161,7 @@
 		if rd.Empty() {
 			return
 		}
-		g.net = append(g.net, rd.Early...)
+		g.net = append(g.net, rd.ImmediateMessages...)
 		m.core.Advance(rd)
 		g.net = append(g.net, rd.Messages...)
 		for _, e := range rd.Committed {
--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -174,7 +174,7 @@
 		if rd.Empty() {
 			break
 		}
-		g.r.send(g, rd.Early)
+		g.r.send(g, rd.ImmediateMessages)
 		if rd.Snapshot != nil {
 			if err := g.sm.restore(rd.Snapshot.Data); err != nil {
 				g.fail(err)
--- a/raft/core.go
+++ b/raft/core.go
@@ -250,13 +250,13 @@
 // Ready returns the work to do. Advance must be called once what it has to persist
 // is persisted.
 func (c *Core) Ready() Ready {
-	r := Ready{Early: c.early, Reads: c.done}
+	r := Ready{ImmediateMessages: c.early, Reads: c.done}
 	c.early, c.done = nil, nil
 	if c.state.Term != c.saved.Term {
 		// A term must not be led twice with different entries: until it is
 		// persisted, nothing is sent in it.
-		c.messages = append(c.messages, r.Early...)
-		r.Early = nil
+		c.messages = append(c.messages, r.ImmediateMessages...)
+		r.ImmediateMessages = nil
 	}
 	if !c.saving {
 		c.handOut(&r)
--- a/raft/raft_test.go
+++ b/raft/raft_test.go
@@ -113,7 +113,7 @@
 		if rd.Empty() {
 			return
 		}
-		c.net = append(c.net, rd.Early...)
+		c.net = append(c.net, rd.ImmediateMessages...)
 		if c.breakSync {
 			c.net = append(c.net, rd.Messages...)
 		}
--- a/raft/slowdisk_test.go
+++ b/raft/slowdisk_test.go
@@ -89,7 +89,7 @@
 		if rd.Empty() {
 			return
 		}
-		s.send(rd.Early)
+		s.send(rd.ImmediateMessages)
 		if !rd.MustSave() {
 			s.send(rd.Messages)
 			continue
--- a/raft/types.go
+++ b/raft/types.go
@@ -184,7 +184,7 @@
 	// index.
 	Entries []Entry
 	// Early may be sent before anything is persisted.
-	Early []Message
+	ImmediateMessages []Message
 	// Messages may be sent only after all of the above is synced.
 	Messages []Message
 	// Committed are the entries to apply. A quorum has persisted them; this
@@ -201,6 +201,6 @@
 
 // Empty tells whether there is nothing to do.
 func (r *Ready) Empty() bool {
-	return !r.MustSave() && len(r.Early) == 0 && len(r.Messages) == 0 &&
+	return !r.MustSave() && len(r.ImmediateMessages) == 0 && len(r.Messages) == 0 &&
 		len(r.Committed) == 0 && len(r.Reads) == 0
 }
--- a/repair/availability_test.go
+++ b/repair/availability_test.go
@@ -100,7 +100,7 @@
 			r.state = *rd.State
 		}
 		r.core.Advance(rd)
-		f.net = append(f.net, rd.Early...)
+		f.net = append(f.net, rd.ImmediateMessages...)
 		f.net = append(f.net, rd.Messages...)
 		for _, e := range rd.Committed {
 			f.apply(r, e)
