--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -317,7 +317,7 @@
 	health := map[string]repair.Health{}
 	for _, p := range append(append([]raft.Peer(nil), conf.Voters...), conf.Learners...) {
 		if ticks, lag, ok := g.core.PeerStatus(p.ID); ok {
-			if conf.Voter(p.ID) {
+			if conf.IsVoter(p.ID) {
 				// A voter whose disk confirms nothing is as good as silent; a learner
 				// may be at work on a large snapshot.
 				ticks = max(ticks, g.core.UnsavedTicks(p.ID))
--- a/internal/node/stall_test.go
+++ b/internal/node/stall_test.go
@@ -193,6 +193,6 @@
 		_, res := nodes[leader].change("", version, settings.Entries{"#deadline": fmt.Sprintf("%ds", version+2)})
 		version = max(version, res.Version)
 		conf := nodes[leader].replicas.groups[configGroup].conf.Load()
-		return conf.Voter(spare.replicas.id) && !conf.Voter(nodes[hung].replicas.id)
+		return conf.IsVoter(spare.replicas.id) && !conf.IsVoter(nodes[hung].replicas.id)
 	}, 20*time.Second, 50*time.Millisecond).Should(gomega.BeTrue())
 }
--- a/raft/core.go
+++ b/raft/core.go
@@ -209,12 +209,12 @@
 func voterChanges(a, b Conf) int {
 	n := 0
 	for _, p := range a.Voters {
-		if !b.Voter(p.ID) {
+		if !b.IsVoter(p.ID) {
 			n++
 		}
 	}
 	for _, p := range b.Voters {
-		if !a.Voter(p.ID) {
+		if !a.IsVoter(p.ID) {
 			n++
 		}
 	}
@@ -332,7 +332,7 @@
 		}
 	}
 	for id := range c.peers {
-		if !c.conf.Voter(id) && !c.conf.Learner(id) {
+		if !c.conf.IsVoter(id) && !c.conf.Learner(id) {
 			delete(c.peers, id)
 		}
 	}
--- a/raft/election.go
+++ b/raft/election.go
@@ -69,7 +69,7 @@
 	// Also a learner gives its leader up: its vote may be needed, as it may have
 	// been given one that it does not know of.
 	c.leader = ""
-	if !c.conf.Voter(c.opt.ID) || c.saving {
+	if !c.conf.IsVoter(c.opt.ID) || c.saving {
 		// What waits for the disk is sent when its save ends: replicas whose saves
 		// end together would stand together, each time.
 		return
--- a/raft/raft_test.go
+++ b/raft/raft_test.go
@@ -271,7 +271,7 @@
 		return
 	}
 	conf := l.core.Conf()
-	if !conf.Voter(r.id) || len(conf.Voters) < 3 || c.aliveVoters(conf) <= len(conf.Voters)/2+1 {
+	if !conf.IsVoter(r.id) || len(conf.Voters) < 3 || c.aliveVoters(conf) <= len(conf.Voters)/2+1 {
 		return
 	}
 	c.lostID++
--- a/raft/replicate.go
+++ b/raft/replicate.go
@@ -222,7 +222,7 @@
 	}
 	c.log.commit = index
 	c.broadcastCommit()
-	if !c.conf.Voter(c.opt.ID) && c.confIndex <= c.log.commit {
+	if !c.conf.IsVoter(c.opt.ID) && c.confIndex <= c.log.commit {
 		// The change that removed this replica is in force.
 		c.becomeFollower(c.state.Term, "")
 	}
--- a/raft/transfer.go
+++ b/raft/transfer.go
@@ -53,7 +53,7 @@
 // disk stalls could not vote for itself.
 func (c *Core) takeOver(m Message) {
 	stalls := c.opt.Stall > 0 && c.SaveTicks() >= c.opt.Stall
-	if c.role != Follower || c.leader != m.From || stalls || !c.conf.Voter(c.opt.ID) {
+	if c.role != Follower || c.leader != m.From || stalls || !c.conf.IsVoter(c.opt.ID) {
 		return
 	}
 	c.elapsed = 0
--- a/raft/types.go
+++ b/raft/types.go
@@ -40,7 +40,7 @@
 }
 
 // Voter tells whether id has a vote.
-func (c Conf) Voter(id string) bool { return contains(c.Voters, id) }
+func (c Conf) IsVoter(id string) bool { return contains(c.Voters, id) }
 
 // Learner tells whether id follows without a vote.
 func (c Conf) Learner(id string) bool { return contains(c.Learners, id) }
--- a/repair/repair_test.go
+++ b/repair/repair_test.go
@@ -35,12 +35,12 @@
 
 	group.Health["c2"] = Health{Lag: 3}
 	p, _ = Next(group, opt)
-	g.Expect(p.Conf.Voter("c2")).To(gomega.BeTrue())
+	g.Expect(p.Conf.IsVoter("c2")).To(gomega.BeTrue())
 	g.Expect(p.Conf.Voters).To(gomega.HaveLen(4))
 
 	group.Conf = p.Conf
 	p, _ = Next(group, opt)
-	g.Expect(p.Conf.Voter("c")).To(gomega.BeFalse())
+	g.Expect(p.Conf.IsVoter("c")).To(gomega.BeFalse())
 	g.Expect(p.Conf.Voters).To(gomega.HaveLen(3))
 
 	group.Conf = p.Conf
