--- a/raft/core.go
+++ b/raft/core.go
@@ -332,7 +332,7 @@
 		}
 	}
 	for id := range c.peers {
-		if !c.conf.IsVoter(id) && !c.conf.Learner(id) {
+		if !c.conf.IsVoter(id) && !c.conf.IsLearner(id) {
 			delete(c.peers, id)
 		}
 	}
--- a/raft/types.go
+++ b/raft/types.go
@@ -43,7 +43,7 @@
 func (c Conf) IsVoter(id string) bool { return contains(c.Voters, id) }
 
 // Learner tells whether id follows without a vote.
-func (c Conf) Learner(id string) bool { return contains(c.Learners, id) }
+func (c Conf) IsLearner(id string) bool { return contains(c.Learners, id) }
 
 func contains(ps []Peer, id string) bool {
 	return slices.ContainsFunc(ps, func(p Peer) bool { return p.ID == id })
--- a/repair/repair.go
+++ b/repair/repair.go
@@ -199,7 +199,7 @@
 	var best raft.Peer
 	found := false
 	for _, c := range g.Candidates {
-		if g.Conf.IsVoter(c.ID) || g.Conf.Learner(c.ID) {
+		if g.Conf.IsVoter(c.ID) || g.Conf.IsLearner(c.ID) {
 			continue
 		}
 		if !found || count[c.Domain] < count[best.Domain] || count[c.Domain] == count[best.Domain] && c.ID < best.ID {
--- a/repair/repair_test.go
+++ b/repair/repair_test.go
@@ -25,7 +25,7 @@
 	}
 	p, ok := Next(group, opt)
 	g.Expect(ok).To(gomega.BeTrue())
-	g.Expect(p.Conf.Learner("c2")).To(gomega.BeTrue())
+	g.Expect(p.Conf.IsLearner("c2")).To(gomega.BeTrue())
 	g.Expect(p.Conf.Voters).To(gomega.HaveLen(3))
 
 	group.Conf = p.Conf
@@ -56,7 +56,7 @@
 		Candidates: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("d", "x"), peer("e", "w")},
 	}
 	p, _ := Next(group, opt)
-	g.Expect(p.Conf.Learner("e")).To(gomega.BeTrue())
+	g.Expect(p.Conf.IsLearner("e")).To(gomega.BeTrue())
 }
 
 func TestNobodyToTakeThePlaceChangesNothing(t *testing.T) {
@@ -84,7 +84,7 @@
 	p, ok := Next(group, opt)
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(p.Conf.Voters).To(gomega.ContainElement(peer("b", "y")))
-	g.Expect(p.Conf.Learner("d")).To(gomega.BeTrue(), p.Reason)
+	g.Expect(p.Conf.IsLearner("d")).To(gomega.BeTrue(), p.Reason)
 
 	// Where it no longer answers at its address, it has moved.
 	group.Candidates = []raft.Peer{other, peer("d", "z")}
