--- a/raft/core.go
+++ b/raft/core.go
@@ -14,7 +14,7 @@
 	ID string
 	// Election is the least time without a leader before an election; the
 	// time is drawn between it and twice it.
-	Election int
+	ElectionTicks int
 	// Heartbeat is the time between a leader's heartbeats.
 	Heartbeat int
 	// Rand is the source of election times.
@@ -361,7 +361,7 @@
 	c.preVotes, c.votes = nil, nil
 	c.peers = nil
 	c.heir = ""
-	c.timeout = c.opt.Election + c.opt.Rand.IntN(c.opt.Election)
+	c.timeout = c.opt.ElectionTicks + c.opt.Rand.IntN(c.opt.ElectionTicks)
 	for _, r := range c.reads {
 		c.done = append(c.done, ReadResult{ID: r.id})
 	}
--- a/raft/election.go
+++ b/raft/election.go
@@ -36,7 +36,7 @@
 		}
 		c.sendHeartbeats()
 	}
-	if c.elapsed < c.opt.Election {
+	if c.elapsed < c.opt.ElectionTicks {
 		return
 	}
 	c.elapsed = 0
@@ -91,7 +91,7 @@
 
 // retryTime draws the time until the next try.
 func (c *Core) retryTime() int {
-	part := max(1, c.opt.Election/retryPart)
+	part := max(1, c.opt.ElectionTicks/retryPart)
 	return part + c.opt.Rand.IntN(part)
 }
 
@@ -102,7 +102,7 @@
 		return
 	}
 	c.yielded = true
-	c.timeout = max(c.timeout, c.elapsed+max(1, c.opt.Election/retryPart))
+	c.timeout = max(c.timeout, c.elapsed+max(1, c.opt.ElectionTicks/retryPart))
 }
 
 // campaign stands for election. A transfer is one that the leader asked for.
@@ -208,7 +208,7 @@
 // time; votes are then refused, so that a replica which alone cannot hear the
 // leader does not unseat it.
 func (c *Core) hearsLeader() bool {
-	return c.role == Leader || c.leader != "" && c.elapsed < c.opt.Election
+	return c.role == Leader || c.leader != "" && c.elapsed < c.opt.ElectionTicks
 }
 
 func (c *Core) voteResponse(m Message) {
--- a/raft/replicate.go
+++ b/raft/replicate.go
@@ -289,7 +289,7 @@
 	if p.snapshotWait > 0 {
 		return
 	}
-	p.snapshotWait = snapshotRetry * c.opt.Election
+	p.snapshotWait = snapshotRetry * c.opt.ElectionTicks
 	snap := c.log.snap
 	p.next = snap.Index + 1
 	c.sendEarly(Message{Type: MsgSnapshot, To: id, Snapshot: &snap})
--- a/raft/transfer.go
+++ b/raft/transfer.go
@@ -5,7 +5,7 @@
 func (c *Core) tickTransfer() {
 	if c.heir != "" {
 		c.heirTicks++
-		if c.heirTicks >= c.opt.Election {
+		if c.heirTicks >= c.opt.ElectionTicks {
 			c.heir = ""
 		}
 		return
@@ -25,7 +25,7 @@
 	best, match, sound := "", c.log.stable, 0
 	for _, v := range c.conf.Voters {
 		p := c.peers[v.ID]
-		if v.ID == c.opt.ID || p.match <= c.log.stable || p.silent >= c.opt.Election {
+		if v.ID == c.opt.ID || p.match <= c.log.stable || p.silent >= c.opt.ElectionTicks {
 			continue
 		}
 		sound++
