--- a/raft/core.go
+++ b/raft/core.go
@@ -16,7 +16,7 @@
 	// time is drawn between it and twice it.
 	ElectionTicks int
 	// Heartbeat is the time between a leader's heartbeats.
-	Heartbeat int
+	HeartbeatTicks int
 	// Rand is the source of election times.
 	Rand *rand.Rand
 	// MaxBatch bounds the entries of one message.
--- a/raft/election.go
+++ b/raft/election.go
@@ -28,7 +28,7 @@
 	}
 	c.tickTransfer()
 	c.beat++
-	if c.beat >= c.opt.Heartbeat {
+	if c.beat >= c.opt.HeartbeatTicks {
 		c.beat = 0
 		c.round++
 		for _, p := range c.peers {
