--- a/raft/core.go
+++ b/raft/core.go
@@ -23,7 +23,7 @@
 	MaxBatch int
 	// Stall is how long a save may take before a leader hands its lead to a voter
 	// whose disk answers; 0 is for ever.
-	Stall int
+	StallTicks int
 }
 
 // progress is what a leader knows of another replica.
--- a/raft/transfer.go
+++ b/raft/transfer.go
@@ -10,7 +10,7 @@
 		}
 		return
 	}
-	if c.opt.Stall == 0 || c.SaveTicks() < c.opt.Stall {
+	if c.opt.StallTicks == 0 || c.SaveTicks() < c.opt.StallTicks {
 		return
 	}
 	c.heir = c.soundestVoter()
@@ -52,7 +52,7 @@
 // takeOver stands for election at once, as the leader asks. A replica whose own
 // disk stalls could not vote for itself.
 func (c *Core) takeOver(m Message) {
-	stalls := c.opt.Stall > 0 && c.SaveTicks() >= c.opt.Stall
+	stalls := c.opt.StallTicks > 0 && c.SaveTicks() >= c.opt.StallTicks
 	if c.role != Follower || c.leader != m.From || stalls || !c.conf.IsVoter(c.opt.ID) {
 		return
 	}
