--- a/confstore/history_test.go
+++ b/confstore/history_test.go
@@ -120,7 +120,7 @@
 		conf.Voters = append(conf.Voters, raft.Peer{ID: fmt.Sprint(i)})
 	}
 	for i := range 3 {
-		o := raft.Options{ID: fmt.Sprint(i), ElectionTicks: 10, HeartbeatTicks: 2, MaxBatch: 8, Rand: g.rng}
+		o := raft.Options{ID: fmt.Sprint(i), ElectionTicks: 10, HeartbeatTicks: 2, MaxBatchEntries: 8, Rand: g.rng}
 		core := raft.New(o, raft.HardState{Term: 1, Commit: 1}, raft.Snapshot{Index: 1, Term: 1, Conf: conf}, nil)
 		g.members = append(g.members, &member{core: core, store: New(), wait: map[uint64]pending{}, reads: map[uint64]int{}})
 	}
--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -82,7 +82,7 @@
 		waiters: map[uint64]waiter{}, reads: map[uint64]chan raft.ReadResult{},
 	}
 	g.core = raft.New(raft.Options{
-		ID: r.id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, MaxBatch: maxBatch, StallTicks: stallTicks,
+		ID: r.id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, MaxBatchEntries: maxBatch, StallTicks: stallTicks,
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}, l.State, l.Snapshot, l.Entries)
 	if err := m.restore(l.Snapshot.Data); err != nil {
--- a/raft/core.go
+++ b/raft/core.go
@@ -20,7 +20,7 @@
 	// Rand is the source of election times.
 	Rand *rand.Rand
 	// MaxBatch bounds the entries of one message.
-	MaxBatch int
+	MaxBatchEntries int
 	// Stall is how long a save may take before a leader hands its lead to a voter
 	// whose disk answers; 0 is for ever.
 	StallTicks int
--- a/raft/raft_test.go
+++ b/raft/raft_test.go
@@ -100,7 +100,7 @@
 }
 
 func (c *cluster) boot(r *replica) {
-	o := Options{ID: r.id, ElectionTicks: 10, HeartbeatTicks: 2, Rand: c.rng, MaxBatch: 4}
+	o := Options{ID: r.id, ElectionTicks: 10, HeartbeatTicks: 2, Rand: c.rng, MaxBatchEntries: 4}
 	r.core = New(o, r.disk.state, r.disk.snap, append([]Entry(nil), r.disk.entries...))
 	r.down = false
 	r.saving = nil
@@ -446,7 +446,7 @@
 // must not take a silent learner for one that has caught up.
 func TestALearnerThatNeverAnsweredLacksEverything(t *testing.T) {
 	snap := InitialSnapshot(Peer{ID: "a"}, nil)
-	c := New(Options{ID: "a", ElectionTicks: 10, HeartbeatTicks: 2, MaxBatch: 4, Rand: rand.New(rand.NewPCG(1, 1))}, HardState{Term: 1, Commit: 1}, snap, nil)
+	c := New(Options{ID: "a", ElectionTicks: 10, HeartbeatTicks: 2, MaxBatchEntries: 4, Rand: rand.New(rand.NewPCG(1, 1))}, HardState{Term: 1, Commit: 1}, snap, nil)
 	c.Campaign()
 	for rd := c.Ready(); !rd.Empty(); rd = c.Ready() {
 		c.Advance(rd)
@@ -468,7 +468,7 @@
 func TestALearnerVotesOnceItsLeaderIsGone(t *testing.T) {
 	const election = 10
 	conf := Conf{Voters: []Peer{{ID: "a"}, {ID: "b"}}, Learners: []Peer{{ID: "c"}}}
-	o := Options{ID: "c", ElectionTicks: election, HeartbeatTicks: 2, MaxBatch: 4, Rand: rand.New(rand.NewPCG(1, 1))}
+	o := Options{ID: "c", ElectionTicks: election, HeartbeatTicks: 2, MaxBatchEntries: 4, Rand: rand.New(rand.NewPCG(1, 1))}
 	c := New(o, HardState{Term: 2, Commit: 1}, Snapshot{Index: 1, Term: 1, Conf: conf}, nil)
 	c.Step(Message{Type: MsgHeartbeat, From: "a", To: "c", Term: 2})
 	if c.Leader() != "a" {
--- a/raft/replicate.go
+++ b/raft/replicate.go
@@ -276,7 +276,7 @@
 		c.sendSnapshot(id, p)
 		return
 	}
-	hi := min(c.log.last(), prev+uint64(c.opt.MaxBatch))
+	hi := min(c.log.last(), prev+uint64(c.opt.MaxBatchEntries))
 	es := slices.Clone(c.log.slice(p.next, hi))
 	p.next = hi + 1
 	c.sendEarly(Message{Type: MsgAppend, To: id, Index: prev, LogTerm: term, Commit: c.log.commit, Entries: es})
--- a/raft/slowdisk_test.go
+++ b/raft/slowdisk_test.go
@@ -56,7 +56,7 @@
 		conf.Voters = append(conf.Voters, Peer{ID: string(rune('a' + i))})
 	}
 	for i, p := range conf.Voters {
-		o := Options{ID: p.ID, ElectionTicks: 20, HeartbeatTicks: 3, MaxBatch: 256, StallTicks: slowStall, Rand: rand.New(rand.NewPCG(seed, uint64(i)))}
+		o := Options{ID: p.ID, ElectionTicks: 20, HeartbeatTicks: 3, MaxBatchEntries: 256, StallTicks: slowStall, Rand: rand.New(rand.NewPCG(seed, uint64(i)))}
 		c := New(o, HardState{Term: 1, Commit: 1}, Snapshot{Index: 1, Term: 1, Conf: conf}, nil)
 		s.replicas[p.ID] = &slowReplica{core: c, voted: HardState{Term: 1}}
 		s.ids = append(s.ids, p.ID)
--- a/raft/stall_test.go
+++ b/raft/stall_test.go
@@ -280,7 +280,7 @@
 // it must not be sent after the term has changed.
 func TestAnswersOfAnEarlierTermAreNotSentAfterIt(t *testing.T) {
 	conf := Conf{Voters: []Peer{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
-	o := Options{ID: "c", ElectionTicks: 10, HeartbeatTicks: 2, MaxBatch: 4, Rand: rand.New(rand.NewPCG(1, 1))}
+	o := Options{ID: "c", ElectionTicks: 10, HeartbeatTicks: 2, MaxBatchEntries: 4, Rand: rand.New(rand.NewPCG(1, 1))}
 	c := New(o, HardState{Term: 2, Commit: 1}, Snapshot{Index: 1, Term: 1, Conf: conf}, nil)
 	appendOf := func(from string, term, index uint64) Message {
 		return Message{
@@ -307,7 +307,7 @@
 // for it is bounded.
 func TestStalledFollowerKeepsLittle(t *testing.T) {
 	conf := Conf{Voters: []Peer{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
-	o := Options{ID: "c", ElectionTicks: 10, HeartbeatTicks: 2, MaxBatch: 4, Rand: rand.New(rand.NewPCG(1, 1))}
+	o := Options{ID: "c", ElectionTicks: 10, HeartbeatTicks: 2, MaxBatchEntries: 4, Rand: rand.New(rand.NewPCG(1, 1))}
 	c := New(o, HardState{Term: 2, Commit: 1}, Snapshot{Index: 1, Term: 1, Conf: conf}, nil)
 	const entries = 3 * maxUnsaved
 	term := uint64(1)
--- a/repair/availability_test.go
+++ b/repair/availability_test.go
@@ -81,7 +81,7 @@
 
 func (f *simFleet) boot(r *simReplica) {
 	r.up = true
-	r.core = raft.New(raft.Options{ID: r.ID, ElectionTicks: 20, HeartbeatTicks: 3, MaxBatch: 256, Rand: f.rng}, r.state, r.snap, slices.Clone(r.entries))
+	r.core = raft.New(raft.Options{ID: r.ID, ElectionTicks: 20, HeartbeatTicks: 3, MaxBatchEntries: 256, Rand: f.rng}, r.state, r.snap, slices.Clone(r.entries))
 }
 
 func (f *simFleet) work(r *simReplica) {
