--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -322,7 +322,7 @@
 				// may be at work on a large snapshot.
 				ticks = max(ticks, g.core.UnsavedTicks(p.ID))
 			}
-			health[p.ID] = repair.Health{Silent: time.Duration(ticks) * raftTick, Lag: lag}
+			health[p.ID] = repair.Health{SilentFor: time.Duration(ticks) * raftTick, Lag: lag}
 		}
 	}
 	return repair.Group{Conf: conf, Self: g.r.id, Health: health, Candidates: g.r.verified()}
--- a/repair/repair.go
+++ b/repair/repair.go
@@ -14,13 +14,13 @@
 // Health is what the leader knows of a member.
 type Health struct {
 	// Silent is how long nothing was heard of it.
-	Silent time.Duration
+	SilentFor time.Duration
 	// Lag is how many entries it lacks.
 	Lag uint64
 }
 
 // sound tells whether the member was heard lately and follows closely.
-func (h Health) sound(o Options) bool { return h.Lag <= o.MaxLag && h.Silent < o.SuspectAfter }
+func (h Health) sound(o Options) bool { return h.Lag <= o.MaxLag && h.SilentFor < o.SuspectAfter }
 
 // Options are the settings of the repair.
 type Options struct {
@@ -144,7 +144,7 @@
 		if v.ID == g.Self {
 			continue
 		}
-		if replacedAt(g, v) || g.Health[v.ID].Silent >= after {
+		if replacedAt(g, v) || g.Health[v.ID].SilentFor >= after {
 			return v, true
 		}
 	}
@@ -165,7 +165,7 @@
 func dropLearner(g Group, o Options, suspicion bool) (Plan, bool) {
 	needed := suspicion || len(g.Conf.Voters) < o.Target
 	for _, l := range g.Conf.Learners {
-		if replacedAt(g, l) || g.Health[l.ID].Silent >= o.ReplaceAfter {
+		if replacedAt(g, l) || g.Health[l.ID].SilentFor >= o.ReplaceAfter {
 			return Plan{g.Conf.Without(l.ID), "dropped the learner " + l.ID + ", it is lost"}, true
 		}
 		if !needed && allHeard(g, o) {
--- a/repair/repair_test.go
+++ b/repair/repair_test.go
@@ -20,7 +20,7 @@
 	fresh := raft.Peer{ID: "c2", Addr: "at-c", Domain: "z"}
 	group := Group{
 		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, Self: "a",
-		Health:     map[string]Health{"b": {}, "c": {Silent: time.Second}},
+		Health:     map[string]Health{"b": {}, "c": {SilentFor: time.Second}},
 		Candidates: []raft.Peer{peer("a", "x"), peer("b", "y"), fresh},
 	}
 	p, ok := Next(group, opt)
@@ -52,7 +52,7 @@
 	g := gomega.NewWithT(t)
 	group := Group{
 		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, Self: "a",
-		Health:     map[string]Health{"b": {}, "c": {Silent: 2 * time.Minute}},
+		Health:     map[string]Health{"b": {}, "c": {SilentFor: 2 * time.Minute}},
 		Candidates: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("d", "x"), peer("e", "w")},
 	}
 	p, _ := Next(group, opt)
@@ -63,7 +63,7 @@
 	g := gomega.NewWithT(t)
 	_, ok := Next(Group{
 		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, Self: "a",
-		Health:     map[string]Health{"b": {}, "c": {Silent: time.Hour}},
+		Health:     map[string]Health{"b": {}, "c": {SilentFor: time.Hour}},
 		Candidates: []raft.Peer{peer("a", "x"), peer("b", "y")},
 	}, opt)
 	g.Expect(ok).To(gomega.BeFalse(), "removing without a substitute only lowers the quorum")
@@ -78,7 +78,7 @@
 	other := raft.Peer{ID: "b", Addr: "at-b-too", Domain: "y"}
 	group := Group{
 		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, Self: "a",
-		Health:     map[string]Health{"b": {}, "c": {Silent: 2 * time.Minute}},
+		Health:     map[string]Health{"b": {}, "c": {SilentFor: 2 * time.Minute}},
 		Candidates: []raft.Peer{other, peer("b", "y"), peer("d", "z")},
 	}
 	p, ok := Next(group, opt)
