--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -312,7 +312,7 @@
 }
 
 // members is what the decision about the membership looks at.
-func (g *group) members() repair.Group {
+func (g *group) members() repair.GroupStatus {
 	conf := g.core.Conf()
 	health := map[string]repair.Health{}
 	for _, p := range append(append([]raft.Peer(nil), conf.Voters...), conf.Learners...) {
@@ -325,7 +325,7 @@
 			health[p.ID] = repair.Health{SilentFor: time.Duration(ticks) * raftTick, Lag: lag}
 		}
 	}
-	return repair.Group{Conf: conf, Self: g.r.id, Health: health, Candidates: g.r.verified()}
+	return repair.GroupStatus{Conf: conf, Self: g.r.id, Health: health, Candidates: g.r.verified()}
 }
 
 func (g *group) repairOptions() repair.Options {
@@ -336,7 +336,7 @@
 }
 
 // repair makes the next change of the membership, if there is one to make.
-func (g *group) repair(members repair.Group, opt repair.Options) {
+func (g *group) repair(members repair.GroupStatus, opt repair.Options) {
 	if g.core.ConfPending() {
 		return
 	}
--- a/repair/repair.go
+++ b/repair/repair.go
@@ -37,7 +37,7 @@
 }
 
 // Group is what the decision depends on.
-type Group struct {
+type GroupStatus struct {
 	Conf raft.Conf
 	// Self is the leader's identity.
 	Self string
@@ -57,14 +57,14 @@
 
 // Settled tells whether the group is as it should be: the look for the next
 // change may take its time.
-func Settled(g Group, o Options) bool {
+func Settled(g GroupStatus, o Options) bool {
 	_, suspected := silentVoter(g, o.SuspectAfter)
 	return !suspected && len(g.Conf.Voters) == o.Target && len(g.Conf.Learners) == 0
 }
 
 // BearsLoss tells whether the group commits on after any one more loss: all that
 // it needs and one more are known to follow closely.
-func BearsLoss(g Group, o Options) bool {
+func BearsLoss(g GroupStatus, o Options) bool {
 	sound := 0
 	for _, v := range g.Conf.Voters {
 		if v.ID == g.Self || g.Health[v.ID].sound(o) && !replacedAt(g, v) {
@@ -80,7 +80,7 @@
 // A learner costs no quorum, so it is taken in at the first suspicion; it gets
 // the vote only once the silent voter counts as lost. A voter that was silent
 // for less keeps its place.
-func Next(g Group, o Options) (Plan, bool) {
+func Next(g GroupStatus, o Options) (Plan, bool) {
 	if p, ok := moved(g); ok {
 		return p, true
 	}
@@ -111,7 +111,7 @@
 
 // moved takes over the new address of a member. One that answers at its address as
 // well has not moved: it would be moved to and fro, and nothing repaired meanwhile.
-func moved(g Group) (Plan, bool) {
+func moved(g GroupStatus) (Plan, bool) {
 	for i, v := range g.Conf.Voters {
 		if slices.ContainsFunc(g.Candidates, func(c raft.Peer) bool { return c.ID == v.ID && c.Addr == v.Addr }) {
 			continue
@@ -127,7 +127,7 @@
 	return Plan{}, false
 }
 
-func promote(g Group, o Options) (Plan, bool) {
+func promote(g GroupStatus, o Options) (Plan, bool) {
 	for _, l := range g.Conf.Learners {
 		h, ok := g.Health[l.ID]
 		if ok && h.sound(o) {
@@ -139,7 +139,7 @@
 
 // silentVoter returns a voter whose disk is known to be lost, because another
 // identity answers at its address, or that was not heard for the given time.
-func silentVoter(g Group, after time.Duration) (raft.Peer, bool) {
+func silentVoter(g GroupStatus, after time.Duration) (raft.Peer, bool) {
 	for _, v := range g.Conf.Voters {
 		if v.ID == g.Self {
 			continue
@@ -151,7 +151,7 @@
 	return raft.Peer{}, false
 }
 
-func replacedAt(g Group, v raft.Peer) bool {
+func replacedAt(g GroupStatus, v raft.Peer) bool {
 	for _, c := range g.Candidates {
 		if c.Addr == v.Addr && c.ID != v.ID {
 			return true
@@ -162,7 +162,7 @@
 
 // dropLearner gives up a learner that is lost, or that nobody needs as all
 // voters are heard again.
-func dropLearner(g Group, o Options, suspicion bool) (Plan, bool) {
+func dropLearner(g GroupStatus, o Options, suspicion bool) (Plan, bool) {
 	needed := suspicion || len(g.Conf.Voters) < o.Target
 	for _, l := range g.Conf.Learners {
 		if replacedAt(g, l) || g.Health[l.ID].SilentFor >= o.ReplaceAfter {
@@ -177,7 +177,7 @@
 
 // allHeard tells whether all voters have answered this leader lately. A new
 // leader has not heard of a lost voter either way.
-func allHeard(g Group, o Options) bool {
+func allHeard(g GroupStatus, o Options) bool {
 	for _, v := range g.Conf.Voters {
 		h, ok := g.Health[v.ID]
 		if v.ID != g.Self && (!ok || !h.sound(o)) {
@@ -189,7 +189,7 @@
 
 // bestCandidate returns the replica outside the group whose failure domain
 // has the fewest voters, not counting the lost one.
-func bestCandidate(g Group, lost raft.Peer) (raft.Peer, bool) {
+func bestCandidate(g GroupStatus, lost raft.Peer) (raft.Peer, bool) {
 	count := map[string]int{}
 	for _, v := range g.Conf.Voters {
 		if v.ID != lost.ID {
@@ -210,7 +210,7 @@
 }
 
 // surplus returns the voter, other than the leader, whose domain has most.
-func surplus(g Group) raft.Peer {
+func surplus(g GroupStatus) raft.Peer {
 	count := map[string]int{}
 	for _, v := range g.Conf.Voters {
 		count[v.Domain]++
--- a/repair/repair_test.go
+++ b/repair/repair_test.go
@@ -18,7 +18,7 @@
 func TestALostDiskIsReplacedStepByStep(t *testing.T) {
 	g := gomega.NewWithT(t)
 	fresh := raft.Peer{ID: "c2", Addr: "at-c", Domain: "z"}
-	group := Group{
+	group := GroupStatus{
 		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, Self: "a",
 		Health:     map[string]Health{"b": {}, "c": {SilentFor: time.Second}},
 		Candidates: []raft.Peer{peer("a", "x"), peer("b", "y"), fresh},
@@ -50,7 +50,7 @@
 
 func TestASilentReplicaIsReplacedFromTheEmptiestDomain(t *testing.T) {
 	g := gomega.NewWithT(t)
-	group := Group{
+	group := GroupStatus{
 		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, Self: "a",
 		Health:     map[string]Health{"b": {}, "c": {SilentFor: 2 * time.Minute}},
 		Candidates: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("d", "x"), peer("e", "w")},
@@ -61,7 +61,7 @@
 
 func TestNobodyToTakeThePlaceChangesNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
-	_, ok := Next(Group{
+	_, ok := Next(GroupStatus{
 		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, Self: "a",
 		Health:     map[string]Health{"b": {}, "c": {SilentFor: time.Hour}},
 		Candidates: []raft.Peer{peer("a", "x"), peer("b", "y")},
@@ -76,7 +76,7 @@
 func TestAReplicaThatAnswersAtTwoAddressesIsNotMoved(t *testing.T) {
 	g := gomega.NewWithT(t)
 	other := raft.Peer{ID: "b", Addr: "at-b-too", Domain: "y"}
-	group := Group{
+	group := GroupStatus{
 		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, Self: "a",
 		Health:     map[string]Health{"b": {}, "c": {SilentFor: 2 * time.Minute}},
 		Candidates: []raft.Peer{other, peer("b", "y"), peer("d", "z")},
