--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -325,7 +325,7 @@
 			health[p.ID] = repair.Health{SilentFor: time.Duration(ticks) * raftTick, Lag: lag}
 		}
 	}
-	return repair.GroupStatus{Conf: conf, Self: g.r.id, Health: health, Candidates: g.r.verified()}
+	return repair.GroupStatus{Conf: conf, LeaderID: g.r.id, Health: health, Candidates: g.r.verified()}
 }
 
 func (g *group) repairOptions() repair.Options {
--- a/repair/availability_test.go
+++ b/repair/availability_test.go
@@ -205,7 +205,7 @@
 
 // look does what a leader's shell does now and then.
 func (f *simFleet) look(l *simReplica) {
-	g := GroupStatus{Conf: l.core.Conf(), Self: l.ID, Health: map[string]Health{}}
+	g := GroupStatus{Conf: l.core.Conf(), LeaderID: l.ID, Health: map[string]Health{}}
 	for _, p := range slices.Concat(g.Conf.Voters, g.Conf.Learners) {
 		if ticks, lag, ok := l.core.PeerStatus(p.ID); ok {
 			g.Health[p.ID] = Health{SilentFor: time.Duration(ticks) * simTick, Lag: lag}
--- a/repair/repair.go
+++ b/repair/repair.go
@@ -40,7 +40,7 @@
 type GroupStatus struct {
 	Conf raft.Conf
 	// Self is the leader's identity.
-	Self string
+	LeaderID string
 	// Health has an entry for each member but the leader.
 	Health map[string]Health
 	// Candidates are replicas that are alive, members or not. Each has
@@ -67,7 +67,7 @@
 func BearsLoss(g GroupStatus, o Options) bool {
 	sound := 0
 	for _, v := range g.Conf.Voters {
-		if v.ID == g.Self || g.Health[v.ID].sound(o) && !replacedAt(g, v) {
+		if v.ID == g.LeaderID || g.Health[v.ID].sound(o) && !replacedAt(g, v) {
 			sound++
 		}
 	}
@@ -141,7 +141,7 @@
 // identity answers at its address, or that was not heard for the given time.
 func silentVoter(g GroupStatus, after time.Duration) (raft.Peer, bool) {
 	for _, v := range g.Conf.Voters {
-		if v.ID == g.Self {
+		if v.ID == g.LeaderID {
 			continue
 		}
 		if replacedAt(g, v) || g.Health[v.ID].SilentFor >= after {
@@ -180,7 +180,7 @@
 func allHeard(g GroupStatus, o Options) bool {
 	for _, v := range g.Conf.Voters {
 		h, ok := g.Health[v.ID]
-		if v.ID != g.Self && (!ok || !h.sound(o)) {
+		if v.ID != g.LeaderID && (!ok || !h.sound(o)) {
 			return false
 		}
 	}
@@ -217,7 +217,7 @@
 	}
 	var worst raft.Peer
 	for _, v := range g.Conf.Voters {
-		if v.ID != g.Self && (worst.ID == "" || count[v.Domain] > count[worst.Domain]) {
+		if v.ID != g.LeaderID && (worst.ID == "" || count[v.Domain] > count[worst.Domain]) {
 			worst = v
 		}
 	}
--- a/repair/repair_test.go
+++ b/repair/repair_test.go
@@ -19,7 +19,7 @@
 	g := gomega.NewWithT(t)
 	fresh := raft.Peer{ID: "c2", Addr: "at-c", Domain: "z"}
 	group := GroupStatus{
-		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, Self: "a",
+		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, LeaderID: "a",
 		Health:     map[string]Health{"b": {}, "c": {SilentFor: time.Second}},
 		Candidates: []raft.Peer{peer("a", "x"), peer("b", "y"), fresh},
 	}
@@ -51,7 +51,7 @@
 func TestASilentReplicaIsReplacedFromTheEmptiestDomain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	group := GroupStatus{
-		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, Self: "a",
+		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, LeaderID: "a",
 		Health:     map[string]Health{"b": {}, "c": {SilentFor: 2 * time.Minute}},
 		Candidates: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("d", "x"), peer("e", "w")},
 	}
@@ -62,7 +62,7 @@
 func TestNobodyToTakeThePlaceChangesNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	_, ok := Next(GroupStatus{
-		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, Self: "a",
+		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, LeaderID: "a",
 		Health:     map[string]Health{"b": {}, "c": {SilentFor: time.Hour}},
 		Candidates: []raft.Peer{peer("a", "x"), peer("b", "y")},
 	}, opt)
@@ -77,7 +77,7 @@
 	g := gomega.NewWithT(t)
 	other := raft.Peer{ID: "b", Addr: "at-b-too", Domain: "y"}
 	group := GroupStatus{
-		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, Self: "a",
+		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, LeaderID: "a",
 		Health:     map[string]Health{"b": {}, "c": {SilentFor: 2 * time.Minute}},
 		Candidates: []raft.Peer{other, peer("b", "y"), peer("d", "z")},
 	}
