--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -146,7 +146,7 @@
 	members, opt := g.members(), g.repairOptions()
 	settled := repair.Settled(members, opt)
 	g.settled.Store(settled)
-	g.noteBearing(repair.BearsLoss(members, opt))
+	g.noteBearing(repair.ToleratesFailure(members, opt))
 	if settled && g.ticks%repairEvery != 0 {
 		return
 	}
--- a/repair/repair.go
+++ b/repair/repair.go
@@ -64,7 +64,7 @@
 
 // BearsLoss tells whether the group commits on after any one more loss: all that
 // it needs and one more are known to follow closely.
-func BearsLoss(g GroupStatus, o Options) bool {
+func ToleratesFailure(g GroupStatus, o Options) bool {
 	sound := 0
 	for _, v := range g.Conf.Voters {
 		if v.ID == g.LeaderID || g.Health[v.ID].sound(o) && !replacedAt(g, v) {
