--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -340,7 +340,7 @@
 	if g.core.ConfPending() {
 		return
 	}
-	plan, ok := repair.Next(members, opt)
+	plan, ok := repair.NextChange(members, opt)
 	if !ok {
 		return
 	}
--- a/repair/availability_test.go
+++ b/repair/availability_test.go
@@ -220,7 +220,7 @@
 	if !Settled(g, f.opt) {
 		f.lookAt = f.now + simUnsettled
 	}
-	if p, ok := Next(g, f.opt); ok && l.core.ProposeConf(p.Conf) == nil {
+	if p, ok := NextChange(g, f.opt); ok && l.core.ProposeConf(p.Conf) == nil {
 		if len(p.Conf.Voters) < len(g.Conf.Voters) {
 			f.removed++
 		}
--- a/repair/repair.go
+++ b/repair/repair.go
@@ -80,7 +80,7 @@
 // A learner costs no quorum, so it is taken in at the first suspicion; it gets
 // the vote only once the silent voter counts as lost. A voter that was silent
 // for less keeps its place.
-func Next(g GroupStatus, o Options) (Plan, bool) {
+func NextChange(g GroupStatus, o Options) (Plan, bool) {
 	if p, ok := moved(g); ok {
 		return p, true
 	}
--- a/repair/repair_test.go
+++ b/repair/repair_test.go
@@ -23,28 +23,28 @@
 		Health:     map[string]Health{"b": {}, "c": {SilentFor: time.Second}},
 		Candidates: []raft.Peer{peer("a", "x"), peer("b", "y"), fresh},
 	}
-	p, ok := Next(group, opt)
+	p, ok := NextChange(group, opt)
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(p.Conf.IsLearner("c2")).To(gomega.BeTrue())
 	g.Expect(p.Conf.Voters).To(gomega.HaveLen(3))
 
 	group.Conf = p.Conf
 	group.Health["c2"] = Health{Lag: 1000}
-	_, ok = Next(group, opt)
+	_, ok = NextChange(group, opt)
 	g.Expect(ok).To(gomega.BeFalse(), "a learner that lags gets no vote")
 
 	group.Health["c2"] = Health{Lag: 3}
-	p, _ = Next(group, opt)
+	p, _ = NextChange(group, opt)
 	g.Expect(p.Conf.IsVoter("c2")).To(gomega.BeTrue())
 	g.Expect(p.Conf.Voters).To(gomega.HaveLen(4))
 
 	group.Conf = p.Conf
-	p, _ = Next(group, opt)
+	p, _ = NextChange(group, opt)
 	g.Expect(p.Conf.IsVoter("c")).To(gomega.BeFalse())
 	g.Expect(p.Conf.Voters).To(gomega.HaveLen(3))
 
 	group.Conf = p.Conf
-	_, ok = Next(group, opt)
+	_, ok = NextChange(group, opt)
 	g.Expect(ok).To(gomega.BeFalse())
 }
 
@@ -55,13 +55,13 @@
 		Health:     map[string]Health{"b": {}, "c": {SilentFor: 2 * time.Minute}},
 		Candidates: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("d", "x"), peer("e", "w")},
 	}
-	p, _ := Next(group, opt)
+	p, _ := NextChange(group, opt)
 	g.Expect(p.Conf.IsLearner("e")).To(gomega.BeTrue())
 }
 
 func TestNobodyToTakeThePlaceChangesNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
-	_, ok := Next(GroupStatus{
+	_, ok := NextChange(GroupStatus{
 		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, LeaderID: "a",
 		Health:     map[string]Health{"b": {}, "c": {SilentFor: time.Hour}},
 		Candidates: []raft.Peer{peer("a", "x"), peer("b", "y")},
@@ -81,14 +81,14 @@
 		Health:     map[string]Health{"b": {}, "c": {SilentFor: 2 * time.Minute}},
 		Candidates: []raft.Peer{other, peer("b", "y"), peer("d", "z")},
 	}
-	p, ok := Next(group, opt)
+	p, ok := NextChange(group, opt)
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(p.Conf.Voters).To(gomega.ContainElement(peer("b", "y")))
 	g.Expect(p.Conf.IsLearner("d")).To(gomega.BeTrue(), p.Reason)
 
 	// Where it no longer answers at its address, it has moved.
 	group.Candidates = []raft.Peer{other, peer("d", "z")}
-	p, ok = Next(group, opt)
+	p, ok = NextChange(group, opt)
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(p.Conf.Voters).To(gomega.ContainElement(other))
 }
