--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -331,7 +331,7 @@
 func (g *group) repairOptions() repair.Options {
 	o := &g.r.n.opt
 	return repair.Options{
-		Target: o.Replicas, SuspectAfter: o.SuspectAfter.Duration, ReplaceAfter: o.ReplaceAfter.Duration, MaxLag: caughtUp,
+		TargetVoters: o.Replicas, SuspectAfter: o.SuspectAfter.Duration, ReplaceAfter: o.ReplaceAfter.Duration, MaxLag: caughtUp,
 	}
 }
 
--- a/repair/availability_test.go
+++ b/repair/availability_test.go
@@ -65,13 +65,13 @@
 	for i := range domains {
 		p := raft.Peer{ID: fmt.Sprintf("r%d", i), Addr: fmt.Sprintf("a%d", i), Domain: fmt.Sprintf("d%d", i)}
 		r := &simReplica{Peer: p}
-		if i < o.Target {
+		if i < o.TargetVoters {
 			conf.Voters = append(conf.Voters, p)
 		}
 		f.replicas = append(f.replicas, r)
 	}
 	for i, r := range f.replicas {
-		if i < o.Target {
+		if i < o.TargetVoters {
 			r.snap, r.state = raft.Snapshot{Index: 1, Term: 1, Conf: conf}, raft.HardState{Term: 1, Commit: 1}
 		}
 		f.boot(r)
@@ -322,7 +322,7 @@
 }
 
 // repairOptions are those that the fleets of this test run with.
-var repairOptions = Options{Target: 3, SuspectAfter: 600 * time.Millisecond, ReplaceAfter: 2 * time.Second, MaxLag: 16}
+var repairOptions = Options{TargetVoters: 3, SuspectAfter: 600 * time.Millisecond, ReplaceAfter: 2 * time.Second, MaxLag: 16}
 
 // playLosses plays a sequence of losses and returns the repair times, counted
 // from when the replica or its successor runs.
--- a/repair/repair.go
+++ b/repair/repair.go
@@ -25,7 +25,7 @@
 // Options are the settings of the repair.
 type Options struct {
 	// Target is how many voters the group should have.
-	Target int
+	TargetVoters int
 	// SuspectAfter is the silence of a voter after which a learner is made
 	// ready for its place.
 	SuspectAfter time.Duration
@@ -59,7 +59,7 @@
 // change may take its time.
 func Settled(g GroupStatus, o Options) bool {
 	_, suspected := silentVoter(g, o.SuspectAfter)
-	return !suspected && len(g.Conf.Voters) == o.Target && len(g.Conf.Learners) == 0
+	return !suspected && len(g.Conf.Voters) == o.TargetVoters && len(g.Conf.Learners) == 0
 }
 
 // BearsLoss tells whether the group commits on after any one more loss: all that
@@ -86,23 +86,23 @@
 	}
 	lost, hasLost := silentVoter(g, o.ReplaceAfter)
 	suspect, hasSuspect := silentVoter(g, o.SuspectAfter)
-	if hasLost && len(g.Conf.Voters) > o.Target {
+	if hasLost && len(g.Conf.Voters) > o.TargetVoters {
 		return Plan{g.Conf.Without(lost.ID), "removed " + lost.ID + ", whose place is taken"}, true
 	}
 	if p, ok := dropLearner(g, o, hasSuspect); ok {
 		return p, true
 	}
-	if hasLost || len(g.Conf.Voters) < o.Target {
+	if hasLost || len(g.Conf.Voters) < o.TargetVoters {
 		if p, ok := promote(g, o); ok {
 			return p, true
 		}
 	}
-	if len(g.Conf.Learners) == 0 && (len(g.Conf.Voters) < o.Target || len(g.Conf.Voters) == o.Target && hasSuspect) {
+	if len(g.Conf.Learners) == 0 && (len(g.Conf.Voters) < o.TargetVoters || len(g.Conf.Voters) == o.TargetVoters && hasSuspect) {
 		if c, ok := bestCandidate(g, suspect); ok {
 			return Plan{g.Conf.With(c, false), "added " + c.ID + " at " + c.Addr + " as a learner"}, true
 		}
 	}
-	if len(g.Conf.Voters) > o.Target && allHeard(g, o) {
+	if len(g.Conf.Voters) > o.TargetVoters && allHeard(g, o) {
 		p := surplus(g)
 		return Plan{g.Conf.Without(p.ID), "removed " + p.ID + ", one more than wanted"}, true
 	}
@@ -163,7 +163,7 @@
 // dropLearner gives up a learner that is lost, or that nobody needs as all
 // voters are heard again.
 func dropLearner(g GroupStatus, o Options, suspicion bool) (Plan, bool) {
-	needed := suspicion || len(g.Conf.Voters) < o.Target
+	needed := suspicion || len(g.Conf.Voters) < o.TargetVoters
 	for _, l := range g.Conf.Learners {
 		if replacedAt(g, l) || g.Health[l.ID].SilentFor >= o.ReplaceAfter {
 			return Plan{g.Conf.Without(l.ID), "dropped the learner " + l.ID + ", it is lost"}, true
--- a/repair/repair_test.go
+++ b/repair/repair_test.go
@@ -11,7 +11,7 @@
 
 func peer(id, domain string) raft.Peer { return raft.Peer{ID: id, Addr: "at-" + id, Domain: domain} }
 
-var opt = Options{Target: 3, SuspectAfter: 10 * time.Second, ReplaceAfter: time.Minute, MaxLag: 16}
+var opt = Options{TargetVoters: 3, SuspectAfter: 10 * time.Second, ReplaceAfter: time.Minute, MaxLag: 16}
 
 // TestALostDiskIsReplacedStepByStep follows the whole repair of a replica that
 // comes back under a new identity at the same address.
