--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -76,7 +76,7 @@
 	done chan []byte
 }
 
-func openGroup(r *replicas, id int, w *logWriter, l wal.Loaded, m stateMachine) (*group, error) {
+func openGroup(r *replicas, id int, w *logWriter, l wal.Contents, m stateMachine) (*group, error) {
 	g := &group{
 		id: id, r: r, writer: w, sm: m, inbox: ring.New[func()](inboxSize),
 		waiters: map[uint64]waiter{}, reads: map[uint64]chan raft.ReadResult{},
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -316,7 +316,7 @@
 	if err := g.writeNow(&logReset{snap: snap, state: &st}); err != nil {
 		return err
 	}
-	next, err := openGroup(g.r, g.id, g.writer, wal.Loaded{State: st, Snapshot: snap}, g.sm)
+	next, err := openGroup(g.r, g.id, g.writer, wal.Contents{State: st, Snapshot: snap}, g.sm)
 	if err != nil {
 		return err
 	}
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -45,7 +45,7 @@
 }
 
 // Loaded is what was found on opening.
-type Loaded struct {
+type Contents struct {
 	State    raft.HardState
 	Snapshot raft.Snapshot
 	Entries  []raft.Entry
@@ -60,7 +60,7 @@
 	size int64
 	base uint64
 	buf  []byte
-	last Loaded
+	last Contents
 	// voted is the term and vote that are synced.
 	voted vote
 	// hold is called before each sync; nil for nothing.
@@ -76,13 +76,13 @@
 func voteOf(s raft.HardState) vote { return vote{s.Term, s.Vote} }
 
 // Open opens or creates the folder and returns what it holds.
-func Open(dir string) (*WAL, Loaded, error) {
+func Open(dir string) (*WAL, Contents, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, Loaded{}, fault.Wrap(fault.Internal, err, "cannot make the data folder")
+		return nil, Contents{}, fault.Wrap(fault.Internal, err, "cannot make the data folder")
 	}
 	w := &WAL{dir: dir}
 	if err := w.load(); err != nil {
-		return nil, Loaded{}, err
+		return nil, Contents{}, err
 	}
 	return w, w.last, nil
 }
