--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -105,7 +105,7 @@
 			return err
 		}
 		if r.n.opt.SyncHold != "" {
-			w.HoldSyncs(r.n.awaitHeldDisk)
+			w.SetBeforeSync(r.n.awaitHeldDisk)
 		}
 		var m stateMachine = &claimMachine{}
 		if id == configGroup {
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -232,7 +232,7 @@
 
 // HoldSyncs has hold called before each sync: what is not synced is delayed with it, as
 // on a disk that does not answer. It is set before the log is used.
-func (w *WAL) HoldSyncs(hold func()) { w.hold = hold }
+func (w *WAL) SetBeforeSync(hold func()) { w.hold = hold }
 
 func (w *WAL) awaitDisk() {
 	if w.hold != nil {
