--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -143,7 +143,7 @@
 		return fault.New(fault.Corrupt, "the replica's identity is gone")
 	}
 	r.id = newID()
-	return wal.WriteFile(dir, identityName, []byte(r.id))
+	return wal.WriteFileAtomic(dir, identityName, []byte(r.id))
 }
 
 const (
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -375,4 +375,4 @@
 func (w *WAL) State() raft.HardState { return w.last.State }
 
 // WriteFile puts a file into a folder whole and synced.
-func WriteFile(dir, name string, data []byte) error { return replaceFile(dir, name, data) }
+func WriteFileAtomic(dir, name string, data []byte) error { return replaceFile(dir, name, data) }
