--- a/discovery/fleet_test.go
+++ b/discovery/fleet_test.go
@@ -356,7 +356,7 @@
 			all, byID[id] = append(all, id), m.Addr
 		}
 	}
-	for _, id := range member.Linking(all, simLinking) {
+	for _, id := range member.SelectLinkMembers(all, simLinking) {
 		ids, addrs = append(ids, id), append(addrs, byID[id])
 	}
 	slices.Sort(addrs)
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -54,7 +54,7 @@
 			all = append(all, m.ID)
 		}
 	}
-	ids = member.Linking(all, linking)
+	ids = member.SelectLinkMembers(all, linking)
 	for _, id := range ids {
 		addrs = append(addrs, byID[id])
 	}
--- a/member/meta.go
+++ b/member/meta.go
@@ -227,7 +227,7 @@
 // others. Every member works it out alone from the ids it holds alive
 // ("rendezvous hashing", Thaler and Ravishankar, 1998): where two members
 // differ for a moment a domain has a link more, which does no harm.
-func Linking(ids []string, n int) []string {
+func SelectLinkMembers(ids []string, n int) []string {
 	out := append([]string(nil), ids...)
 	sort.Slice(out, func(i, j int) bool {
 		a, b := weigh(out[i]), weigh(out[j])
