--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -71,7 +71,7 @@
 	self := gossip.Member{ID: n.id, Addr: n.opt.AdvertiseControl}
 	core := gossip.New(self, gossip.Options{
 		Period: gossipPeriod, AckTimeout: ackTimeout, Suspicion: suspicion, Forget: forgetAfter,
-		Indirect: indirectProbes, PacketBytes: packetBytes, Urgent: member.IsEnded, Rand: newRand(),
+		Indirect: indirectProbes, PacketBytes: packetBytes, Urgent: member.IsTerminationSummary, Rand: newRand(),
 	})
 	return &gossiper{
 		n: n, core: core, tables: newTables(n), packets: ring.New[datagram](packetRing), fetches: ring.New[behind](fetchRing),
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -132,7 +132,7 @@
 			if len(r.Key) <= len(prefix) || r.Key[:len(prefix)] != prefix {
 				continue
 			}
-			if n.gossip.core.Publish(r) && member.IsEnded(r.Key) {
+			if n.gossip.core.Publish(r) && member.IsTerminationSummary(r.Key) {
 				// A request that ends servers must not wait for the next probe.
 				n.gossip.core.Nudge(nudges)
 			}
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -67,7 +67,7 @@
 		if err != nil || s.Domain == t.n.opt.Domain {
 			return
 		}
-		if member.IsEnded(e.Record.Key) {
+		if member.IsTerminationSummary(e.Record.Key) {
 			t.n.quarantine.heardRemote(s)
 			return
 		}
--- a/member/meta.go
+++ b/member/meta.go
@@ -162,7 +162,7 @@
 func EndedService(slot int) string { return endedService + strconv.Itoa(slot) }
 
 // IsEnded tells whether a record holds a Summary of ends.
-func IsEnded(key string) bool {
+func IsTerminationSummary(key string) bool {
 	return IsSummary(key) && strings.Contains(key, "/"+endedService)
 }
 
