--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -108,7 +108,7 @@
 		if present[key] {
 			continue
 		}
-		if s, err := member.DecodeSummary(r.Payload); err == nil && !s.Blank() {
+		if s, err := member.DecodeSummary(r.Payload); err == nil && !s.IsEmpty() {
 			s.Instances, s.End, s.Answered = nil, nil, nil
 			l.update(key, s.Encode())
 		}
--- a/internal/node/quarantine_news.go
+++ b/internal/node/quarantine_news.go
@@ -122,7 +122,7 @@
 		if slot == 0 {
 			s.Answered = slices.Clone(q.recentAnswers)
 		}
-		if !s.Blank() {
+		if !s.IsEmpty() {
 			out = append(out, s)
 		}
 	}
--- a/member/meta.go
+++ b/member/meta.go
@@ -191,7 +191,7 @@
 }
 
 // Blank tells whether the summary names nothing.
-func (s *Summary) Blank() bool {
+func (s *Summary) IsEmpty() bool {
 	return len(s.Instances) == 0 && s.End == nil && len(s.Answered) == 0
 }
 
