--- a/internal/links/links_test.go
+++ b/internal/links/links_test.go
@@ -12,7 +12,7 @@
 func summary(service string, ids ...string) member.Summary {
 	s := member.Summary{Domain: "a", Service: service}
 	for _, id := range ids {
-		s.Instances = append(s.Instances, member.Remote{ID: id, Addr: "x:1"})
+		s.Instances = append(s.Instances, member.RemoteInstance{ID: id, Addr: "x:1"})
 	}
 	return s
 }
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -33,7 +33,7 @@
 		for s := range 150 {
 			sum := member.Summary{Domain: fmt.Sprintf("domain-%d", d), Service: fmt.Sprintf("fleet/service-%d", s)}
 			for i := range member.SummaryInstances {
-				sum.Instances = append(sum.Instances, member.Remote{ID: fmt.Sprintf("%d-%d-%d", d, s, i), Addr: fmt.Sprintf("10.%d.%d.%d:7001", d, s, i), Slots: 40, Weight: 1})
+				sum.Instances = append(sum.Instances, member.RemoteInstance{ID: fmt.Sprintf("%d-%d-%d", d, s, i), Addr: fmt.Sprintf("10.%d.%d.%d:7001", d, s, i), Slots: 40, Weight: 1})
 			}
 			t.take(gossip.Event{Record: gossip.Record{Key: member.SummaryKey(sum.Domain, sum.Service), Payload: sum.Encode()}})
 		}
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -175,22 +175,22 @@
 
 // summaries returns what this domain tells the others about its services.
 func (n *Node) summaries() []member.Summary {
-	byService := map[string][]member.Remote{}
+	byService := map[string][]member.RemoteInstance{}
 	if be := n.local.Load(); be != nil && be.state == member.Serving && !n.leaving() {
-		byService[be.service] = append(byService[be.service], member.Remote{ID: n.id, Addr: n.opt.AdvertiseData, Slots: be.slots, Weight: be.weight, Start: be.start})
+		byService[be.service] = append(byService[be.service], member.RemoteInstance{ID: n.id, Addr: n.opt.AdvertiseData, Slots: be.slots, Weight: be.weight, Start: be.start})
 	}
 	if id := n.replicas.identity(); id != "" {
-		byService[member.ReplicaService] = append(byService[member.ReplicaService], member.Remote{ID: id, Addr: n.opt.AdvertiseControl})
+		byService[member.ReplicaService] = append(byService[member.ReplicaService], member.RemoteInstance{ID: id, Addr: n.opt.AdvertiseControl})
 	}
 	for _, m := range n.view.Load().members {
 		if !m.alive() {
 			continue
 		}
 		if m.meta.State == member.Serving {
-			byService[m.meta.Service] = append(byService[m.meta.Service], member.Remote{ID: m.ID, Addr: m.meta.Data, Slots: m.meta.Slots, Weight: m.meta.Weight, Start: m.meta.Start})
+			byService[m.meta.Service] = append(byService[m.meta.Service], member.RemoteInstance{ID: m.ID, Addr: m.meta.Data, Slots: m.meta.Slots, Weight: m.meta.Weight, Start: m.meta.Start})
 		}
 		if m.meta.Replica != "" {
-			byService[member.ReplicaService] = append(byService[member.ReplicaService], member.Remote{ID: m.meta.Replica, Addr: m.Addr})
+			byService[member.ReplicaService] = append(byService[member.ReplicaService], member.RemoteInstance{ID: m.meta.Replica, Addr: m.Addr})
 		}
 	}
 	out := n.quarantine.summaries()
--- a/member/meta.go
+++ b/member/meta.go
@@ -170,7 +170,7 @@
 const SummaryInstances = 8
 
 // Remote is an instance of another failure domain.
-type Remote struct {
+type RemoteInstance struct {
 	ID     string
 	Addr   string
 	Slots  int
@@ -184,7 +184,7 @@
 	Domain  string
 	Service string
 	// Instances are some that serve, at most SummaryInstances.
-	Instances []Remote
+	Instances []RemoteInstance
 	// End and Answered, at most MaxAnswers, are told under EndedService alone.
 	End      *RemoteEnd
 	Answered []Answer
@@ -267,7 +267,7 @@
 		s.End.Marks = bounded(s.End.Marks)
 	}
 	if s.Service != ReplicaService {
-		s.Instances = slices.DeleteFunc(s.Instances, func(r Remote) bool { return !usable(r.Addr, r.Slots, r.Weight) })
+		s.Instances = slices.DeleteFunc(s.Instances, func(r RemoteInstance) bool { return !usable(r.Addr, r.Slots, r.Weight) })
 	}
 	return &s, nil
 }
--- a/member/meta_test.go
+++ b/member/meta_test.go
@@ -49,12 +49,12 @@
 // TestTheOtherInstancesOfASummaryHold: one that cannot be used is left out.
 func TestTheOtherInstancesOfASummaryHold(t *testing.T) {
 	g := gomega.NewWithT(t)
-	good := Remote{ID: "a", Addr: "10.0.0.1:7001", Slots: 8, Weight: 1, Start: 3}
-	s := Summary{Domain: "d", Service: "f/s", Instances: []Remote{{ID: "b", Addr: "nowhere", Slots: 8, Weight: 1}, good, {ID: "c", Addr: "10.0.0.2:1", Slots: 8, Weight: math.NaN()}}}
+	good := RemoteInstance{ID: "a", Addr: "10.0.0.1:7001", Slots: 8, Weight: 1, Start: 3}
+	s := Summary{Domain: "d", Service: "f/s", Instances: []RemoteInstance{{ID: "b", Addr: "nowhere", Slots: 8, Weight: 1}, good, {ID: "c", Addr: "10.0.0.2:1", Slots: 8, Weight: math.NaN()}}}
 	got, err := DecodeSummary(s.Encode())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(got.Instances).To(gomega.Equal([]Remote{good}))
-	replicas := Summary{Domain: "d", Service: ReplicaService, Instances: []Remote{{ID: "r", Addr: "10.0.0.1:7002"}}}
+	g.Expect(got.Instances).To(gomega.Equal([]RemoteInstance{good}))
+	replicas := Summary{Domain: "d", Service: ReplicaService, Instances: []RemoteInstance{{ID: "r", Addr: "10.0.0.1:7002"}}}
 	got, err = DecodeSummary(replicas.Encode())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(got.Instances).To(gomega.HaveLen(1), "replicas have no slots")
@@ -63,7 +63,7 @@
 func FuzzDecode(f *testing.F) {
 	m := serving()
 	f.Add(m.Encode())
-	s := Summary{Domain: "d", Service: "f/s", Instances: []Remote{{ID: "a", Addr: "10.0.0.1:7001", Slots: 8, Weight: 1}}}
+	s := Summary{Domain: "d", Service: "f/s", Instances: []RemoteInstance{{ID: "a", Addr: "10.0.0.1:7001", Slots: 8, Weight: 1}}}
 	f.Add(s.Encode())
 	l := Link{Domain: "d", By: "a", Reachable: true, Control: []string{"10.0.0.1:7002"}}
 	f.Add(l.Encode())
