--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -399,7 +399,7 @@
 	for round := range uint32(3) {
 		suspect(round)
 		g.Expect(q.refusal(c)).NotTo(gomega.BeNil())
-		q.heardMember("another", &member.Meta{Answered: []member.Answer{{Mark: mark, AtMs: time.Now().UnixMilli() + int64(round)}}})
+		q.heardMember("another", &member.Meta{Answered: []member.AnsweredRequest{{Mark: mark, AtMs: time.Now().UnixMilli() + int64(round)}}})
 		g.Expect(q.refusal(c)).To(gomega.BeNil(), "round %d", round)
 		q.answers.Note(-time.Hour, c.marks)
 	}
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -67,7 +67,7 @@
 	// lastEnd and cleared are what this node tells others: the last end of the backend
 	// server beside it, and the suspected marks of which it saw an answer.
 	lastEnd *member.End
-	cleared []member.Answer
+	cleared []member.AnsweredRequest
 	// broken are the requests whose connections broke last.
 	broken []inWork
 	next   int
@@ -76,7 +76,7 @@
 	// recent and recentAnswers are the last ends, and answers to suspected requests, in this
 	// failure domain, told to the others.
 	recent        [member.EndSlots]*member.RemoteEnd
-	recentAnswers []member.Answer
+	recentAnswers []member.AnsweredRequest
 	// lastEnds is when the last ends in this failure domain were heard of.
 	lastEnds []time.Duration
 	// described names a request for the marks of which this node has seen one.
--- a/internal/node/quarantine_ends.go
+++ b/internal/node/quarantine_ends.go
@@ -82,7 +82,7 @@
 }
 
 // own returns what this node tells of itself.
-func (q *quarantiner) own() (*member.End, []member.Answer) {
+func (q *quarantiner) own() (*member.End, []member.AnsweredRequest) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.cleared = lastAnswers(q.cleared)
--- a/internal/node/quarantine_news.go
+++ b/internal/node/quarantine_news.go
@@ -24,7 +24,7 @@
 
 // heardAnswer takes in that a suspected request was answered elsewhere; false if it is no
 // news.
-func (q *quarantiner) heardAnswer(a member.Answer) bool {
+func (q *quarantiner) heardAnswer(a member.AnsweredRequest) bool {
 	if !lately(a.AtMs) {
 		return false
 	}
@@ -154,7 +154,7 @@
 // told it by then: many nodes see answers to what many callers ask. The lock is held.
 func (q *quarantiner) tellLater(m quarantine.Mark) {
 	time.AfterFunc(q.share(tellSpread), func() {
-		if !q.tellAnswer(member.Answer{Mark: uint64(m), AtMs: time.Now().UnixMilli()}) {
+		if !q.tellAnswer(member.AnsweredRequest{Mark: uint64(m), AtMs: time.Now().UnixMilli()}) {
 			return
 		}
 		q.n.publishMeta()
@@ -163,7 +163,7 @@
 }
 
 // tellAnswer keeps an answer to tell others of; false if one like it was told just now.
-func (q *quarantiner) tellAnswer(a member.Answer) bool {
+func (q *quarantiner) tellAnswer(a member.AnsweredRequest) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if told := q.toldAt(a.Mark); a.AtMs-told < answerAgain.Milliseconds() || !q.rememberAnswer(a) {
@@ -187,17 +187,17 @@
 
 // rememberAnswer notes an answer to tell other failure domains of; false if it is no news.
 // The lock is held.
-func (q *quarantiner) rememberAnswer(a member.Answer) bool {
+func (q *quarantiner) rememberAnswer(a member.AnsweredRequest) bool {
 	if a.AtMs <= q.toldAt(a.Mark) {
 		return false
 	}
-	q.recentAnswers = slices.DeleteFunc(q.recentAnswers, func(b member.Answer) bool { return a.Mark == b.Mark })
+	q.recentAnswers = slices.DeleteFunc(q.recentAnswers, func(b member.AnsweredRequest) bool { return a.Mark == b.Mark })
 	q.recentAnswers = lastAnswers(append(q.recentAnswers, a))
 	return true
 }
 
 // lastAnswers returns the last ones that are not old.
-func lastAnswers(as []member.Answer) []member.Answer {
-	as = slices.DeleteFunc(as, func(a member.Answer) bool { return !lately(a.AtMs) })
+func lastAnswers(as []member.AnsweredRequest) []member.AnsweredRequest {
+	as = slices.DeleteFunc(as, func(a member.AnsweredRequest) bool { return !lately(a.AtMs) })
 	return as[max(0, len(as)-member.MaxAnswers):]
 }
--- a/member/meta.go
+++ b/member/meta.go
@@ -69,11 +69,11 @@
 	// Ended is the last start that ended with requests in work, or nil.
 	Ended *End
 	// Answered are marks of requests that were suspected and then answered.
-	Answered []Answer
+	Answered []AnsweredRequest
 }
 
 // Answer tells that a request was answered.
-type Answer struct {
+type AnsweredRequest struct {
 	Mark uint64
 	// AtMs is when, in milliseconds of the Unix time by the node's clock.
 	AtMs int64
@@ -187,7 +187,7 @@
 	Instances []RemoteInstance
 	// End and Answered, at most MaxAnswers, are told under EndedService alone.
 	End      *RemoteEnd
-	Answered []Answer
+	Answered []AnsweredRequest
 }
 
 // Blank tells whether the summary names nothing.
