--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -360,7 +360,7 @@
 	g := gomega.NewWithT(t)
 	n := startNode(t, "domain-0", nil, nil)
 	q := n.quarantine
-	endOf := func(start uint32) *member.End {
+	endOf := func(start uint32) *member.Termination {
 		for i := range 2 * endRequests {
 			c := &call{target: "kigali/sheets/open", path: fmt.Sprint("/", start, "/", i), caller: "someone", started: time.Now(), scope: scope.New(time.Now().Add(time.Second))}
 			c.mark()
@@ -376,7 +376,7 @@
 		g.Expect(len(s.Encode())).To(gomega.BeNumerically("<", packetBytes*2/3))
 	}
 	for i := range massEnds {
-		q.heardEnd(fmt.Sprint("other-", i), &member.End{Start: 1, AtMs: time.Now().UnixMilli(), Service: "kigali/sheets"})
+		q.heardEnd(fmt.Sprint("other-", i), &member.Termination{Start: 1, AtMs: time.Now().UnixMilli(), Service: "kigali/sheets"})
 	}
 	g.Expect(endOf(2).Marks).To(gomega.BeEmpty())
 	q.lastEnd.AtMs -= endHeard.Milliseconds()
@@ -393,7 +393,7 @@
 	c := &call{marks: quarantine.Marks{Content: mark}, policy: &settings.Policy{Quarantine: true}}
 	suspect := func(round uint32) {
 		for i := range uint32(quarantine.Ends) {
-			q.heardEnd("other", &member.End{Start: 10*round + i, AtMs: time.Now().UnixMilli(), Service: "f/s", Marks: []uint64{mark}})
+			q.heardEnd("other", &member.Termination{Start: 10*round + i, AtMs: time.Now().UnixMilli(), Service: "f/s", Marks: []uint64{mark}})
 		}
 	}
 	for round := range uint32(3) {
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -66,7 +66,7 @@
 	table *quarantine.Table
 	// lastEnd and cleared are what this node tells others: the last end of the backend
 	// server beside it, and the suspected marks of which it saw an answer.
-	lastEnd *member.End
+	lastEnd *member.Termination
 	cleared []member.AnsweredRequest
 	// broken are the requests whose connections broke last.
 	broken []inWork
--- a/internal/node/quarantine_ends.go
+++ b/internal/node/quarantine_ends.go
@@ -72,7 +72,7 @@
 	if !q.isMass() {
 		marks = q.marksOf(requests)
 	}
-	q.lastEnd = &member.End{Start: be.start, Service: be.service, AtMs: time.Now().UnixMilli(), Marks: marks}
+	q.lastEnd = &member.Termination{Start: be.start, Service: be.service, AtMs: time.Now().UnixMilli(), Marks: marks}
 	end := q.lastEnd
 	q.mu.Unlock()
 	q.n.info("quarantine", "A backend server ended with requests in work.", "service", be.service, "in_work", len(requests), "marks", len(marks),
@@ -82,7 +82,7 @@
 }
 
 // own returns what this node tells of itself.
-func (q *quarantiner) own() (*member.End, []member.AnsweredRequest) {
+func (q *quarantiner) own() (*member.Termination, []member.AnsweredRequest) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.cleared = lastAnswers(q.cleared)
--- a/internal/node/quarantine_news.go
+++ b/internal/node/quarantine_news.go
@@ -41,12 +41,12 @@
 }
 
 // heardEnd takes in an end beside a member of this failure domain, this node too.
-func (q *quarantiner) heardEnd(id string, e *member.End) {
+func (q *quarantiner) heardEnd(id string, e *member.Termination) {
 	if !q.heard(id, e) {
 		return
 	}
 	q.mu.Lock()
-	q.recent[member.EndSlot(id, e.Start)] = &member.RemoteEnd{ID: id, End: *e}
+	q.recent[member.EndSlot(id, e.Start)] = &member.RemoteEnd{ID: id, Termination: *e}
 	q.lastEnds = append(q.lastEnds, q.n.clock())
 	q.lastEnds = q.lastEnds[max(0, len(q.lastEnds)-massEnds):]
 	q.mu.Unlock()
@@ -56,7 +56,7 @@
 // heardRemote takes in what another failure domain tells.
 func (q *quarantiner) heardRemote(s *member.Summary) {
 	if s.End != nil {
-		q.heard(s.End.ID, &s.End.End)
+		q.heard(s.End.ID, &s.End.Termination)
 	}
 	for _, a := range s.Answered {
 		q.heardAnswer(a)
@@ -64,7 +64,7 @@
 }
 
 // heard counts an end; false if it is no news.
-func (q *quarantiner) heard(id string, e *member.End) bool {
+func (q *quarantiner) heard(id string, e *member.Termination) bool {
 	if !lately(e.AtMs) {
 		return false
 	}
--- a/member/meta.go
+++ b/member/meta.go
@@ -67,7 +67,7 @@
 	// observed of an earlier one says nothing of the next.
 	Start uint32
 	// Ended is the last start that ended with requests in work, or nil.
-	Ended *End
+	Ended *Termination
 	// Answered are marks of requests that were suspected and then answered.
 	Answered []AnsweredRequest
 }
@@ -83,7 +83,7 @@
 const MaxAnswers = 4
 
 // End tells of a backend server that ended with requests in work.
-type End struct {
+type Termination struct {
 	// Start is as in Meta, and Service the backend server's.
 	Start   uint32
 	Service string
@@ -101,7 +101,7 @@
 type RemoteEnd struct {
 	// ID is the node's.
 	ID string
-	End
+	Termination
 }
 
 // Encode returns the payload of a member record.
