--- a/member/meta.go
+++ b/member/meta.go
@@ -98,7 +98,7 @@
 const MaxEndMarks = 48
 
 // RemoteEnd is an End beside a node of another failure domain.
-type RemoteEnd struct {
+type RemoteTermination struct {
 	// ID is the node's.
 	ID string
 	Termination
@@ -186,7 +186,7 @@
 	// Instances are some that serve, at most SummaryInstances.
 	Instances []RemoteInstance
 	// End and Answered, at most MaxAnswers, are told under EndedService alone.
-	End      *RemoteEnd
+	End      *RemoteTermination
 	Answered []AnsweredRequest
 }
 
