--- a/internal/node/quarantine_news.go
+++ b/internal/node/quarantine_news.go
@@ -46,7 +46,7 @@
 		return
 	}
 	q.mu.Lock()
-	q.recent[member.EndSlot(id, e.Start)] = &member.RemoteTermination{ID: id, Termination: *e}
+	q.recent[member.TerminationSlot(id, e.Start)] = &member.RemoteTermination{ID: id, Termination: *e}
 	q.lastEnds = append(q.lastEnds, q.n.clock())
 	q.lastEnds = q.lastEnds[max(0, len(q.lastEnds)-massEnds):]
 	q.mu.Unlock()
--- a/member/meta.go
+++ b/member/meta.go
@@ -156,7 +156,7 @@
 
 // EndSlot returns the slot of an end beside the node with an id: the same for all that
 // tell of it.
-func EndSlot(id string, start uint32) int { return int((weigh(id) + uint64(start)) % EndSlots) }
+func TerminationSlot(id string, start uint32) int { return int((weigh(id) + uint64(start)) % EndSlots) }
 
 // EndedService returns the pseudo service of a slot.
 func EndedService(slot int) string { return endedService + strconv.Itoa(slot) }
