--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -75,7 +75,7 @@
 	collected uint32
 	// recent and recentAnswers are the last ends, and answers to suspected requests, in this
 	// failure domain, told to the others.
-	recent        [member.EndSlots]*member.RemoteTermination
+	recent        [member.TerminationSlots]*member.RemoteTermination
 	recentAnswers []member.AnsweredRequest
 	// lastEnds is when the last ends in this failure domain were heard of.
 	lastEnds []time.Duration
--- a/member/meta.go
+++ b/member/meta.go
@@ -152,11 +152,13 @@
 const endedService = "_ended."
 
 // EndSlots is how many ends a failure domain tells the others at once.
-const EndSlots = 4
+const TerminationSlots = 4
 
 // EndSlot returns the slot of an end beside the node with an id: the same for all that
 // tell of it.
-func TerminationSlot(id string, start uint32) int { return int((weigh(id) + uint64(start)) % EndSlots) }
+func TerminationSlot(id string, start uint32) int {
+	return int((weigh(id) + uint64(start)) % TerminationSlots)
+}
 
 // EndedService returns the pseudo service of a slot.
 func EndedService(slot int) string { return endedService + strconv.Itoa(slot) }
