--- a/internal/node/quarantine_news.go
+++ b/internal/node/quarantine_news.go
@@ -115,7 +115,7 @@
 	q.recentAnswers = lastAnswers(q.recentAnswers)
 	var out []member.Summary
 	for slot, e := range q.recent {
-		s := member.Summary{Domain: q.n.opt.Domain, Service: member.EndedService(slot)}
+		s := member.Summary{Domain: q.n.opt.Domain, Service: member.TerminationService(slot)}
 		if e != nil && lately(e.AtMs) {
 			s.End = e
 		}
--- a/member/meta.go
+++ b/member/meta.go
@@ -161,7 +161,7 @@
 }
 
 // EndedService returns the pseudo service of a slot.
-func EndedService(slot int) string { return endedService + strconv.Itoa(slot) }
+func TerminationService(slot int) string { return endedService + strconv.Itoa(slot) }
 
 // IsEnded tells whether a record holds a Summary of ends.
 func IsTerminationSummary(key string) bool {
