--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -370,7 +370,7 @@
 		end, _ := q.own()
 		return end
 	}
-	g.Expect(endOf(1).Marks).To(gomega.HaveLen(member.MaxEndMarks))
+	g.Expect(endOf(1).Marks).To(gomega.HaveLen(member.MaxFingerprints))
 	g.Expect(len(n.meta().Encode())).To(gomega.BeNumerically("<", packetBytes*2/3))
 	for _, s := range q.summaries() {
 		g.Expect(len(s.Encode())).To(gomega.BeNumerically("<", packetBytes*2/3))
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -32,7 +32,7 @@
 	brokenFor  = 1500 * time.Millisecond
 	brokenKept = 512
 	// endRequests is how many requests an end names.
-	endRequests = member.MaxEndMarks / 2
+	endRequests = member.MaxFingerprints / 2
 	// endHeard is how old an end may be to be counted by a node that hears of it. A
 	// node that joins is told of the quarantines, not of what led to them.
 	endHeard = 30 * time.Second
--- a/member/meta.go
+++ b/member/meta.go
@@ -95,7 +95,7 @@
 }
 
 // MaxEndMarks bounds the marks of one End, which ride in one packet with the rest.
-const MaxEndMarks = 48
+const MaxFingerprints = 48
 
 // RemoteEnd is an End beside a node of another failure domain.
 type RemoteTermination struct {
@@ -126,7 +126,7 @@
 }
 
 // bounded cuts what no node of this kind says down to what one may say.
-func bounded(marks []uint64) []uint64 { return marks[:min(len(marks), MaxEndMarks)] }
+func bounded(marks []uint64) []uint64 { return marks[:min(len(marks), MaxFingerprints)] }
 
 const (
 	// MaxSlots and MaxWeight bound what a backend server may announce; a record
