--- a/repair/availability_test.go
+++ b/repair/availability_test.go
@@ -10,57 +10,57 @@
 	"github.com/umberthread/umberthread/raft"
 )
 
-// The fleet of this test runs in virtual time: real raft cores and the real
-// repair decision, with losses of one replica after another. A loss is borne
-// if the group still commits while it lasts.
+// The simulation runs real raft cores and the real repair decisions in virtual time, with a
+// sequence of replica failures. The group must keep committing during each of them.
 const (
 	simTick = 25 * time.Millisecond
-	// simGossip is how long a new replica takes to be known to the leader.
+	// simGossip is the delay until the leader learns of a new replica.
 	simGossip = 800 * time.Millisecond
-	// simRestart is how long a process takes to start again.
+	// simRestart is the restart time of a process.
 	simRestart = 500 * time.Millisecond
-	// simCatchUp is how long after a loss is over the next one may come.
+	// simCatchUp is the minimum time between the end of a failure and the next one.
 	simCatchUp = 4 * time.Second
-	// simElect is within which a group that lost its leader commits again.
+	// simElect is the maximum time without commits after the loss of the leader.
 	simElect = 3 * time.Second
-	// simSettled and simUnsettled are the times between two looks.
+	// simSettled and simUnsettled are the intervals between repair checks.
 	simSettled, simUnsettled = 500 * time.Millisecond, 100 * time.Millisecond
 )
 
-// simReplica is one replica and its disk.
+// simReplica is a replica and its disk.
 type simReplica struct {
 	raft.Peer
-	core    *raft.Core
-	state   raft.HardState
-	snap    raft.Snapshot
-	entries []raft.Entry
-	known   time.Duration
-	// up is false while the process is gone, and frozen and cut are what
-	// their names say. waiting are messages that reach it when it thaws.
-	up, frozen, cut bool
-	waiting         []raft.Message
+	core         *raft.Core
+	state        raft.HardState
+	snap         raft.Snapshot
+	entries      []raft.Entry
+	discoveredAt time.Duration
+	// running is false while the process is down. A frozen replica receives its inbox only
+	// when it resumes; an isolated one neither sends nor receives messages.
+	running, frozen, isolated bool
+	inbox                     []raft.Message
 }
 
+// simFleet simulates the replicas of a group and their network.
 type simFleet struct {
 	t        *testing.T
 	rng      *rand.Rand
 	now      time.Duration
 	replicas []*simReplica
-	net      []raft.Message
-	// acked are the acknowledged commands by index, and pending the terms of
-	// those that were proposed.
-	acked   map[uint64]string
-	pending map[uint64]uint64
-	lastAck time.Duration
-	asked   int
-	newIDs  int
-	lookAt  time.Duration
-	opt     Options
-	removed int
+	inFlight []raft.Message
+	// acked holds the acknowledged entries by index, and pending the terms of proposed
+	// commands.
+	acked           map[uint64]string
+	pending         map[uint64]uint64
+	lastAck         time.Duration
+	ticksWithLeader int
+	replacements    int
+	nextRepair      time.Duration
+	options         Options
+	removedVoters   int
 }
 
 func newSimFleet(t *testing.T, seed uint64, domains int, o Options) *simFleet {
-	f := &simFleet{t: t, rng: rand.New(rand.NewPCG(seed, 7)), acked: map[uint64]string{}, pending: map[uint64]uint64{}, opt: o}
+	f := &simFleet{t: t, rng: rand.New(rand.NewPCG(seed, 7)), acked: map[uint64]string{}, pending: map[uint64]uint64{}, options: o}
 	var conf raft.Conf
 	for i := range domains {
 		p := raft.Peer{ID: fmt.Sprintf("r%d", i), Addr: fmt.Sprintf("a%d", i), Domain: fmt.Sprintf("d%d", i)}
@@ -74,17 +74,17 @@
 		if i < o.TargetVoters {
 			r.snap, r.state = raft.Snapshot{Index: 1, Term: 1, Conf: conf}, raft.HardState{Term: 1, Commit: 1}
 		}
-		f.boot(r)
+		f.start(r)
 	}
 	return f
 }
 
-func (f *simFleet) boot(r *simReplica) {
-	r.up = true
+func (f *simFleet) start(r *simReplica) {
+	r.running = true
 	r.core = raft.New(raft.Options{ID: r.ID, ElectionTicks: 20, HeartbeatTicks: 3, MaxBatchEntries: 256, Rand: f.rng}, r.state, r.snap, slices.Clone(r.entries))
 }
 
-func (f *simFleet) work(r *simReplica) {
+func (f *simFleet) processReady(r *simReplica) {
 	for {
 		rd := r.core.Ready()
 		if rd.Empty() {
@@ -100,28 +100,28 @@
 			r.state = *rd.State
 		}
 		r.core.Advance(rd)
-		f.net = append(f.net, rd.ImmediateMessages...)
-		f.net = append(f.net, rd.Messages...)
+		f.inFlight = append(f.inFlight, rd.ImmediateMessages...)
+		f.inFlight = append(f.inFlight, rd.Messages...)
 		for _, e := range rd.Committed {
 			f.apply(r, e)
 		}
 	}
-	if len(r.entries) > simLog {
+	if len(r.entries) > compactAfterEntries {
 		if snap, ok := r.core.Compact(r.core.Applied(), nil); ok {
 			r.snap, r.entries = snap, r.core.EntriesAfterSnapshot()
 		}
 	}
 }
 
-// simLog is how many entries a replica keeps before a snapshot.
-const simLog = 30
+// compactAfterEntries is the log length that triggers a snapshot.
+const compactAfterEntries = 30
 
-// apply checks that replicas agree, and acknowledges what the proposing leader
-// applies in the term of the proposal.
+// apply checks that replicas apply the same entries. It acknowledges an entry that is applied in
+// the term of its proposal.
 func (f *simFleet) apply(r *simReplica, e raft.Entry) {
 	text := fmt.Sprintf("%d/%d/%s", e.Term, e.Type, e.Data)
 	if old, ok := f.acked[e.Index]; ok && old != text {
-		f.t.Fatalf("%v: index %d: %s applies %q, acknowledged was %q", f.now, e.Index, r.ID, text, old)
+		f.t.Fatalf("%v: index %d: %s applies %q, acknowledged %q", f.now, e.Index, r.ID, text, old)
 	}
 	if f.pending[e.Index] == e.Term {
 		f.acked[e.Index] = text
@@ -130,20 +130,20 @@
 	}
 }
 
-func (f *simFleet) reaches(r *simReplica) bool { return r.up && !r.frozen && !r.cut }
+func (f *simFleet) isReachable(r *simReplica) bool { return r.running && !r.frozen && !r.isolated }
 
-// step plays one tick.
+// step advances the simulation by one tick.
 func (f *simFleet) step() {
 	f.now += simTick
-	msgs := f.net
-	f.net = nil
+	msgs := f.inFlight
+	f.inFlight = nil
 	for _, m := range msgs {
 		f.deliver(m)
 	}
 	for _, r := range f.replicas {
-		if r.up && !r.frozen {
+		if r.running && !r.frozen {
 			r.core.Tick()
-			f.work(r)
+			f.processReady(r)
 		}
 	}
 	l := f.leader()
@@ -151,36 +151,36 @@
 		return
 	}
 	f.propose(l)
-	if f.now >= f.lookAt {
-		f.look(l)
+	if f.now >= f.nextRepair {
+		f.runRepair(l)
 	}
-	f.work(l)
+	f.processReady(l)
 }
 
-// simCommand is how many ticks lie between two commands.
-const simCommand = 8
+// commandEveryTicks is the number of ticks between two commands.
+const commandEveryTicks = 8
 
 func (f *simFleet) propose(l *simReplica) {
-	f.asked++
-	if f.asked%simCommand != 0 {
+	f.ticksWithLeader++
+	if f.ticksWithLeader%commandEveryTicks != 0 {
 		return
 	}
-	if i, term, err := l.core.Propose([]byte(fmt.Sprint(f.asked))); err == nil {
+	if i, term, err := l.core.Propose([]byte(fmt.Sprint(f.ticksWithLeader))); err == nil {
 		f.pending[i] = term
 	}
 }
 
 func (f *simFleet) deliver(m raft.Message) {
 	from, to := f.byID(m.From), f.byID(m.To)
-	if from == nil || to == nil || !to.up || from.cut || to.cut {
+	if from == nil || to == nil || !to.running || from.isolated || to.isolated {
 		return
 	}
 	if to.frozen {
-		to.waiting = append(to.waiting, m)
+		to.inbox = append(to.inbox, m)
 		return
 	}
 	to.core.Step(m)
-	f.work(to)
+	f.processReady(to)
 }
 
 func (f *simFleet) byID(id string) *simReplica {
@@ -192,19 +192,19 @@
 	return nil
 }
 
-// leader returns the leader of the highest term that others can reach.
+// leader returns the reachable leader of the highest term.
 func (f *simFleet) leader() *simReplica {
 	var best *simReplica
 	for _, r := range f.replicas {
-		if f.reaches(r) && r.core.Role() == raft.Leader && (best == nil || r.core.Term() > best.core.Term()) {
+		if f.isReachable(r) && r.core.Role() == raft.Leader && (best == nil || r.core.Term() > best.core.Term()) {
 			best = r
 		}
 	}
 	return best
 }
 
-// look does what a leader's shell does now and then.
-func (f *simFleet) look(l *simReplica) {
+// runRepair makes the leader's periodic repair decision.
+func (f *simFleet) runRepair(l *simReplica) {
 	g := GroupStatus{Conf: l.core.Conf(), LeaderID: l.ID, Health: map[string]Health{}}
 	for _, p := range slices.Concat(g.Conf.Voters, g.Conf.Learners) {
 		if ticks, lag, ok := l.core.PeerStatus(p.ID); ok {
@@ -212,23 +212,23 @@
 		}
 	}
 	for _, r := range f.replicas {
-		if f.reaches(r) && f.now >= r.known {
+		if f.isReachable(r) && f.now >= r.discoveredAt {
 			g.Candidates = append(g.Candidates, r.Peer)
 		}
 	}
-	f.lookAt = f.now + simSettled
-	if !Settled(g, f.opt) {
-		f.lookAt = f.now + simUnsettled
+	f.nextRepair = f.now + simSettled
+	if !Settled(g, f.options) {
+		f.nextRepair = f.now + simUnsettled
 	}
-	if p, ok := NextChange(g, f.opt); ok && l.core.ProposeConf(p.Conf) == nil {
+	if p, ok := NextChange(g, f.options); ok && l.core.ProposeConf(p.Conf) == nil {
 		if len(p.Conf.Voters) < len(g.Conf.Voters) {
-			f.removed++
+			f.removedVoters++
 		}
 	}
 }
 
-// bears tells whether the group commits on after any one further loss.
-func (f *simFleet) bears() bool {
+// toleratesFailure reports whether the group can commit after any one more failure.
+func (f *simFleet) toleratesFailure() bool {
 	l := f.leader()
 	if l == nil || l.core.ConfPending() {
 		return false
@@ -237,10 +237,10 @@
 	sound := 0
 	for _, v := range conf.Voters {
 		r := f.byID(v.ID)
-		if r == nil || !f.reaches(r) {
+		if r == nil || !f.isReachable(r) {
 			continue
 		}
-		if _, lag, ok := l.core.PeerStatus(v.ID); v.ID == l.ID || ok && lag <= f.opt.MaxLag {
+		if _, lag, ok := l.core.PeerStatus(v.ID); v.ID == l.ID || ok && lag <= f.options.MaxLag {
 			sound++
 		}
 	}
@@ -253,12 +253,12 @@
 	}
 }
 
-// until plays until done, and fails after the bound.
-func (f *simFleet) until(what string, bound time.Duration, done func() bool) time.Duration {
+// waitUntil runs the simulation until done returns true, and fails the test after the limit.
+func (f *simFleet) waitUntil(what string, bound time.Duration, done func() bool) time.Duration {
 	from := f.now
 	for !done() {
 		if f.now-from > bound {
-			f.t.Fatalf("%v: not within %v: %s; %s", f.now, bound, what, f.describe())
+			f.t.Fatalf("%v: condition not met within %v: %s; %s", f.now, bound, what, f.describe())
 		}
 		f.step()
 	}
@@ -273,68 +273,68 @@
 	return fmt.Sprintf("%s leads %v in term %d, pending %v", l.ID, l.core.Conf(), l.core.Term(), l.core.ConfPending())
 }
 
-func (f *simFleet) fresh(addr, domain string, after time.Duration) *simReplica {
-	f.newIDs++
+func (f *simFleet) addReplica(addr, domain string, after time.Duration) *simReplica {
+	f.replacements++
 	r := &simReplica{
-		Peer:  raft.Peer{ID: fmt.Sprintf("n%d", f.newIDs), Addr: addr, Domain: domain},
-		known: f.now + after,
+		Peer:         raft.Peer{ID: fmt.Sprintf("n%d", f.replacements), Addr: addr, Domain: domain},
+		discoveredAt: f.now + after,
 	}
 	f.replicas = append(f.replicas, r)
-	f.boot(r)
+	f.start(r)
 	return r
 }
 
-func (f *simFleet) drop(r *simReplica) {
+func (f *simFleet) removeReplica(r *simReplica) {
 	f.replicas = slices.DeleteFunc(f.replicas, func(x *simReplica) bool { return x == r })
 }
 
-// The kinds of losses. Each returns when the replica, or its successor, runs.
-var simLosses = map[string]func(f *simFleet, r *simReplica, lasts time.Duration){
+// simFailures holds the kinds of failures. Each returns once the replica or its successor runs.
+var simFailures = map[string]func(f *simFleet, r *simReplica, lasts time.Duration){
 	"replaced": func(f *simFleet, r *simReplica, lasts time.Duration) {
-		f.drop(r)
+		f.removeReplica(r)
 		f.run(min(lasts, 2*time.Second))
-		f.fresh(r.Addr+"'", r.Domain, simGossip)
+		f.addReplica(r.Addr+"'", r.Domain, simGossip)
 	},
 	"wiped": func(f *simFleet, r *simReplica, lasts time.Duration) {
-		f.drop(r)
+		f.removeReplica(r)
 		f.run(simRestart + min(lasts, 3*time.Second))
-		f.fresh(r.Addr, r.Domain, simGossip)
+		f.addReplica(r.Addr, r.Domain, simGossip)
 	},
 	"killed": func(f *simFleet, r *simReplica, lasts time.Duration) {
-		r.up = false
+		r.running = false
 		f.run(simRestart + lasts)
-		f.boot(r)
+		f.start(r)
 	},
 	"frozen": func(f *simFleet, r *simReplica, lasts time.Duration) {
 		r.frozen = true
 		f.run(lasts)
 		r.frozen = false
-		for _, m := range r.waiting {
+		for _, m := range r.inbox {
 			r.core.Step(m)
 		}
-		r.waiting = nil
+		r.inbox = nil
 	},
 	"cut": func(f *simFleet, r *simReplica, lasts time.Duration) {
-		r.cut = true
+		r.isolated = true
 		f.run(lasts)
-		r.cut = false
+		r.isolated = false
 	},
 }
 
-// repairOptions are those that the fleets of this test run with.
+// repairOptions are the options of all simulations.
 var repairOptions = Options{TargetVoters: 3, SuspectAfter: 600 * time.Millisecond, ReplaceAfter: 2 * time.Second, MaxLag: 16}
 
-// playLosses plays a sequence of losses and returns the repair times, counted
-// from when the replica or its successor runs.
-func playLosses(t *testing.T, seed uint64, domains, losses int) []time.Duration {
+// runFailures simulates a sequence of failures and returns the repair times, measured from when
+// the replica or its successor runs.
+func runFailures(t *testing.T, seed uint64, domains, losses int) []time.Duration {
 	f := newSimFleet(t, seed, domains, repairOptions)
-	f.until("a first leader", simElect, func() bool { return f.lastAck > 0 })
+	f.waitUntil("a first leader", simElect, func() bool { return f.lastAck > 0 })
 	kinds := []string{"cut", "frozen", "killed", "replaced", "wiped"}
 	var times []time.Duration
 	for range losses {
 		f.run(time.Duration(f.rng.Int64N(int64(4 * time.Second))))
-		if !f.bears() {
-			t.Fatalf("seed %d at %v: the group does not bear the next loss", seed, f.now)
+		if !f.toleratesFailure() {
+			t.Fatalf("seed %d at %v: the group does not tolerate another failure", seed, f.now)
 		}
 		victim := f.replicas[f.rng.IntN(len(f.replicas))]
 		if l := f.leader(); f.rng.IntN(3) == 0 {
@@ -343,12 +343,12 @@
 		kind := kinds[f.rng.IntN(len(kinds))]
 		acked := f.lastAck
 		lasts := time.Duration(f.rng.Int64N(int64(8 * time.Second)))
-		simLosses[kind](f, victim, lasts)
+		simFailures[kind](f, victim, lasts)
 		if gap := f.now - acked; gap > simElect && f.lastAck <= acked {
 			t.Fatalf("seed %d at %v: nothing committed for %v while %s was %s", seed, f.now, gap, victim.ID, kind)
 		}
 		from := f.now
-		took := f.until(fmt.Sprintf("seed %d: a group that bears the next loss after %s was %s", seed, victim.ID, kind), simCatchUp, f.bears)
+		took := f.waitUntil(fmt.Sprintf("seed %d: tolerance of another failure after %s was %s", seed, victim.ID, kind), simCatchUp, f.toleratesFailure)
 		times = append(times, took)
 		f.run(max(0, from+simCatchUp-f.now))
 	}
@@ -356,8 +356,7 @@
 	return times
 }
 
-// checkAcked checks that each voter has applied all that was acknowledged; that
-// they applied the same was checked at each entry.
+// checkAcked checks that each voter has applied all acknowledged entries; apply compares them.
 func (f *simFleet) checkAcked(seed uint64) {
 	last := uint64(0)
 	for i := range f.acked {
@@ -371,37 +370,36 @@
 	}
 }
 
-// TestASeriesOfLossesIsBorne plays losses of one replica after another, each
-// as soon as the operators' figures allow, on groups that have a spare replica
-// and on groups that have none.
-func TestASeriesOfLossesIsBorne(t *testing.T) {
+// TestSeriesOfFailuresIsTolerated simulates failures of one replica after another in short
+// succession, on groups with and without a spare replica.
+func TestSeriesOfFailuresIsTolerated(t *testing.T) {
 	const seeds, losses = 200, 8
 	for _, domains := range []int{3, 4} {
 		t.Run(fmt.Sprintf("%d replicas", domains), func(t *testing.T) {
 			var all []time.Duration
 			for seed := range uint64(seeds) {
-				all = append(all, playLosses(t, seed, domains, losses)...)
+				all = append(all, runFailures(t, seed, domains, losses)...)
 			}
 			slices.Sort(all)
-			t.Logf("%d losses; time to a group that bears the next: median %v, 90%% %v, 99%% %v, longest %v",
+			t.Logf("%d failures; time until another is tolerated: median %v, 90%% %v, 99%% %v, longest %v",
 				len(all), all[len(all)/2], all[len(all)*9/10], all[len(all)*99/100], all[len(all)-1])
 		})
 	}
 }
 
-// TestAShortSilenceCostsNoMember: a restart or a short cut changes no voter,
-// though a spare replica is there.
-func TestAShortSilenceCostsNoMember(t *testing.T) {
+// TestShortSilenceRemovesNoVoter checks that a restart or a short partition does not change the
+// voters, even if a spare replica is available.
+func TestShortSilenceRemovesNoVoter(t *testing.T) {
 	for seed := range uint64(20) {
 		f := newSimFleet(t, seed, 4, repairOptions)
-		f.until("a first leader", simElect, func() bool { return f.lastAck > 0 })
+		f.waitUntil("a first leader", simElect, func() bool { return f.lastAck > 0 })
 		f.run(time.Second)
 		for _, kind := range []string{"killed", "cut", "frozen"} {
-			simLosses[kind](f, f.replicas[f.rng.IntN(3)], 800*time.Millisecond)
+			simFailures[kind](f, f.replicas[f.rng.IntN(3)], 800*time.Millisecond)
 			f.run(simCatchUp)
 		}
-		if f.removed > 0 {
-			t.Fatalf("seed %d: %d voters were removed", seed, f.removed)
+		if f.removedVoters > 0 {
+			t.Fatalf("seed %d: %d voters were removed", seed, f.removedVoters)
 		}
 	}
 }
--- a/repair/repair.go
+++ b/repair/repair.go
@@ -1,7 +1,7 @@
-// Package repair decides how a replica group replaces members that are lost:
-// one change at a time, a new replica follows without a vote until it has
-// caught up, and the group's replicas are spread over the failure domains. It
-// is pure: it looks at the group and returns the next membership.
+// Package repair decides how a replica group replaces lost members. It changes one member at
+// a time, adds a new replica as a learner until it has caught up, and spreads the replicas over
+// the failure domains. Its functions have no side effects: they derive the next membership from
+// the status of the group.
 package repair
 
 import (
@@ -11,107 +11,105 @@
 	"github.com/umberthread/umberthread/raft"
 )
 
-// Health is what the leader knows of a member.
+// Health is the leader's view of a member.
 type Health struct {
-	// Silent is how long nothing was heard of it.
+	// SilentFor is the time since the member was last heard from.
 	SilentFor time.Duration
-	// Lag is how many entries it lacks.
+	// Lag is the number of entries that it lacks.
 	Lag uint64
 }
 
-// sound tells whether the member was heard lately and follows closely.
-func (h Health) sound(o Options) bool { return h.Lag <= o.MaxLag && h.SilentFor < o.SuspectAfter }
+// isHealthy reports whether the member was heard recently and has nearly all entries.
+func (h Health) isHealthy(o Options) bool { return h.Lag <= o.MaxLag && h.SilentFor < o.SuspectAfter }
 
-// Options are the settings of the repair.
+// Options configures the repair.
 type Options struct {
-	// Target is how many voters the group should have.
+	// TargetVoters is the desired number of voters.
 	TargetVoters int
-	// SuspectAfter is the silence of a voter after which a learner is made
-	// ready for its place.
+	// SuspectAfter is the silence of a voter after which a learner is added as its
+	// replacement.
 	SuspectAfter time.Duration
-	// ReplaceAfter is the silence after which a learner that has caught up
-	// takes its place.
+	// ReplaceAfter is the silence of a voter after which a learner that has caught up
+	// replaces it.
 	ReplaceAfter time.Duration
-	// MaxLag is how many entries a learner may lack to get a vote.
+	// MaxLag is the maximum number of entries that a healthy member may lack.
 	MaxLag uint64
 }
 
-// Group is what the decision depends on.
+// GroupStatus is the input to repair decisions.
 type GroupStatus struct {
 	Conf raft.Conf
-	// Self is the leader's identity.
+	// LeaderID is the identity of the leader, which makes the decision.
 	LeaderID string
-	// Health has an entry for each member but the leader.
+	// Health has an entry for each member except the leader.
 	Health map[string]Health
-	// Candidates are replicas that are alive, members or not. Each has
-	// answered under its identity at its address: what others tell of a
-	// replica may be of the one that stood there before its disk was lost.
+	// Candidates are the live replicas, members or not. Each must have confirmed its
+	// identity at its address, as information from third parties may predate the loss of
+	// a disk.
 	Candidates []raft.Peer
 }
 
-// Plan is the next membership and why.
+// Plan is a proposed membership and the reason for it.
 type Plan struct {
 	Conf   raft.Conf
 	Reason string
 }
 
-// Settled tells whether the group is as it should be: the look for the next
-// change may take its time.
+// Settled reports whether the group has the desired membership and no suspected voter, so that
+// the next check may be delayed.
 func Settled(g GroupStatus, o Options) bool {
-	_, suspected := silentVoter(g, o.SuspectAfter)
+	_, suspected := unresponsiveVoter(g, o.SuspectAfter)
 	return !suspected && len(g.Conf.Voters) == o.TargetVoters && len(g.Conf.Learners) == 0
 }
 
-// BearsLoss tells whether the group commits on after any one more loss: all that
-// it needs and one more are known to follow closely.
+// ToleratesFailure reports whether the group can still commit after the loss of any one more
+// replica: one more voter than a quorum is healthy.
 func ToleratesFailure(g GroupStatus, o Options) bool {
-	sound := 0
+	healthy := 0
 	for _, v := range g.Conf.Voters {
-		if v.ID == g.LeaderID || g.Health[v.ID].sound(o) && !replacedAt(g, v) {
-			sound++
+		if v.ID == g.LeaderID || g.Health[v.ID].isHealthy(o) && !addressReused(g, v) {
+			healthy++
 		}
 	}
-	return sound > len(g.Conf.Voters)/2+1
+	return healthy > len(g.Conf.Voters)/2+1
 }
 
-// Next returns the next change of the membership, or false if there is none
-// to make.
+// NextChange returns the next membership change, or false if none is needed.
 //
-// A learner costs no quorum, so it is taken in at the first suspicion; it gets
-// the vote only once the silent voter counts as lost. A voter that was silent
-// for less keeps its place.
+// A learner does not affect the quorum, so it is added as soon as a voter is suspected. It is
+// promoted only once the voter counts as lost; a voter that returns earlier keeps its place.
 func NextChange(g GroupStatus, o Options) (Plan, bool) {
-	if p, ok := moved(g); ok {
+	if p, ok := updateAddress(g); ok {
 		return p, true
 	}
-	lost, hasLost := silentVoter(g, o.ReplaceAfter)
-	suspect, hasSuspect := silentVoter(g, o.SuspectAfter)
+	lost, hasLost := unresponsiveVoter(g, o.ReplaceAfter)
+	suspect, hasSuspect := unresponsiveVoter(g, o.SuspectAfter)
 	if hasLost && len(g.Conf.Voters) > o.TargetVoters {
-		return Plan{g.Conf.Without(lost.ID), "removed " + lost.ID + ", whose place is taken"}, true
+		return Plan{g.Conf.Without(lost.ID), "removed " + lost.ID + ": it has been replaced"}, true
 	}
-	if p, ok := dropLearner(g, o, hasSuspect); ok {
+	if p, ok := removeLearner(g, o, hasSuspect); ok {
 		return p, true
 	}
 	if hasLost || len(g.Conf.Voters) < o.TargetVoters {
-		if p, ok := promote(g, o); ok {
+		if p, ok := promoteLearner(g, o); ok {
 			return p, true
 		}
 	}
 	if len(g.Conf.Learners) == 0 && (len(g.Conf.Voters) < o.TargetVoters || len(g.Conf.Voters) == o.TargetVoters && hasSuspect) {
-		if c, ok := bestCandidate(g, suspect); ok {
+		if c, ok := selectCandidate(g, suspect); ok {
 			return Plan{g.Conf.With(c, false), "added " + c.ID + " at " + c.Addr + " as a learner"}, true
 		}
 	}
-	if len(g.Conf.Voters) > o.TargetVoters && allHeard(g, o) {
-		p := surplus(g)
-		return Plan{g.Conf.Without(p.ID), "removed " + p.ID + ", one more than wanted"}, true
+	if len(g.Conf.Voters) > o.TargetVoters && allVotersHealthy(g, o) {
+		p := surplusVoter(g)
+		return Plan{g.Conf.Without(p.ID), "removed " + p.ID + ": more voters than required"}, true
 	}
 	return Plan{}, false
 }
 
-// moved takes over the new address of a member. One that answers at its address as
-// well has not moved: it would be moved to and fro, and nothing repaired meanwhile.
-func moved(g GroupStatus) (Plan, bool) {
+// updateAddress plans the new address of a voter. A voter that also responds at its current
+// address keeps it, so that the address does not alternate and block other repairs.
+func updateAddress(g GroupStatus) (Plan, bool) {
 	for i, v := range g.Conf.Voters {
 		if slices.ContainsFunc(g.Candidates, func(c raft.Peer) bool { return c.ID == v.ID && c.Addr == v.Addr }) {
 			continue
@@ -120,38 +118,40 @@
 			if v.ID == c.ID && v.Addr != c.Addr {
 				next := g.Conf.Without("")
 				next.Voters[i].Addr = c.Addr
-				return Plan{next, "moved " + c.ID + " to " + c.Addr}, true
+				return Plan{next, "changed the address of " + c.ID + " to " + c.Addr}, true
 			}
 		}
 	}
 	return Plan{}, false
 }
 
-func promote(g GroupStatus, o Options) (Plan, bool) {
+// promoteLearner plans the promotion of a healthy learner.
+func promoteLearner(g GroupStatus, o Options) (Plan, bool) {
 	for _, l := range g.Conf.Learners {
 		h, ok := g.Health[l.ID]
-		if ok && h.sound(o) {
-			return Plan{g.Conf.With(l, true), "gave " + l.ID + " a vote, it has caught up"}, true
+		if ok && h.isHealthy(o) {
+			return Plan{g.Conf.With(l, true), "promoted learner " + l.ID + " to voter: it has caught up"}, true
 		}
 	}
 	return Plan{}, false
 }
 
-// silentVoter returns a voter whose disk is known to be lost, because another
-// identity answers at its address, or that was not heard for the given time.
-func silentVoter(g GroupStatus, after time.Duration) (raft.Peer, bool) {
+// unresponsiveVoter returns a voter that has been silent for the given time, or whose disk is
+// lost because another identity responds at its address.
+func unresponsiveVoter(g GroupStatus, after time.Duration) (raft.Peer, bool) {
 	for _, v := range g.Conf.Voters {
 		if v.ID == g.LeaderID {
 			continue
 		}
-		if replacedAt(g, v) || g.Health[v.ID].SilentFor >= after {
+		if addressReused(g, v) || g.Health[v.ID].SilentFor >= after {
 			return v, true
 		}
 	}
 	return raft.Peer{}, false
 }
 
-func replacedAt(g GroupStatus, v raft.Peer) bool {
+// addressReused reports whether another identity responds at the address of v.
+func addressReused(g GroupStatus, v raft.Peer) bool {
 	for _, c := range g.Candidates {
 		if c.Addr == v.Addr && c.ID != v.ID {
 			return true
@@ -160,36 +160,36 @@
 	return false
 }
 
-// dropLearner gives up a learner that is lost, or that nobody needs as all
-// voters are heard again.
-func dropLearner(g GroupStatus, o Options, suspicion bool) (Plan, bool) {
-	needed := suspicion || len(g.Conf.Voters) < o.TargetVoters
+// removeLearner plans the removal of a learner that is lost, or that is no longer needed because
+// all voters are healthy.
+func removeLearner(g GroupStatus, o Options, voterSuspected bool) (Plan, bool) {
+	needed := voterSuspected || len(g.Conf.Voters) < o.TargetVoters
 	for _, l := range g.Conf.Learners {
-		if replacedAt(g, l) || g.Health[l.ID].SilentFor >= o.ReplaceAfter {
-			return Plan{g.Conf.Without(l.ID), "dropped the learner " + l.ID + ", it is lost"}, true
+		if addressReused(g, l) || g.Health[l.ID].SilentFor >= o.ReplaceAfter {
+			return Plan{g.Conf.Without(l.ID), "removed learner " + l.ID + ": it is lost"}, true
 		}
-		if !needed && allHeard(g, o) {
-			return Plan{g.Conf.Without(l.ID), "dropped the learner " + l.ID + ", all voters are heard again"}, true
+		if !needed && allVotersHealthy(g, o) {
+			return Plan{g.Conf.Without(l.ID), "removed learner " + l.ID + ": all voters are healthy"}, true
 		}
 	}
 	return Plan{}, false
 }
 
-// allHeard tells whether all voters have answered this leader lately. A new
-// leader has not heard of a lost voter either way.
-func allHeard(g GroupStatus, o Options) bool {
+// allVotersHealthy reports whether all voters responded to this leader recently. It is false
+// while a new leader has not yet heard from a voter.
+func allVotersHealthy(g GroupStatus, o Options) bool {
 	for _, v := range g.Conf.Voters {
 		h, ok := g.Health[v.ID]
-		if v.ID != g.LeaderID && (!ok || !h.sound(o)) {
+		if v.ID != g.LeaderID && (!ok || !h.isHealthy(o)) {
 			return false
 		}
 	}
 	return true
 }
 
-// bestCandidate returns the replica outside the group whose failure domain
-// has the fewest voters, not counting the lost one.
-func bestCandidate(g GroupStatus, lost raft.Peer) (raft.Peer, bool) {
+// selectCandidate returns the non-member whose failure domain has the fewest voters, not
+// counting the lost one.
+func selectCandidate(g GroupStatus, lost raft.Peer) (raft.Peer, bool) {
 	count := map[string]int{}
 	for _, v := range g.Conf.Voters {
 		if v.ID != lost.ID {
@@ -209,17 +209,17 @@
 	return best, found
 }
 
-// surplus returns the voter, other than the leader, whose domain has most.
-func surplus(g GroupStatus) raft.Peer {
+// surplusVoter returns a voter other than the leader from the failure domain with most voters.
+func surplusVoter(g GroupStatus) raft.Peer {
 	count := map[string]int{}
 	for _, v := range g.Conf.Voters {
 		count[v.Domain]++
 	}
-	var worst raft.Peer
+	var surplus raft.Peer
 	for _, v := range g.Conf.Voters {
-		if v.ID != g.LeaderID && (worst.ID == "" || count[v.Domain] > count[worst.Domain]) {
-			worst = v
+		if v.ID != g.LeaderID && (surplus.ID == "" || count[v.Domain] > count[surplus.Domain]) {
+			surplus = v
 		}
 	}
-	return worst
+	return surplus
 }
--- a/repair/repair_test.go
+++ b/repair/repair_test.go
@@ -11,11 +11,11 @@
 
 func peer(id, domain string) raft.Peer { return raft.Peer{ID: id, Addr: "at-" + id, Domain: domain} }
 
-var opt = Options{TargetVoters: 3, SuspectAfter: 10 * time.Second, ReplaceAfter: time.Minute, MaxLag: 16}
+var testOptions = Options{TargetVoters: 3, SuspectAfter: 10 * time.Second, ReplaceAfter: time.Minute, MaxLag: 16}
 
-// TestALostDiskIsReplacedStepByStep follows the whole repair of a replica that
-// comes back under a new identity at the same address.
-func TestALostDiskIsReplacedStepByStep(t *testing.T) {
+// TestLostDiskIsReplaced follows the repair of a replica that returns under a new identity at
+// the same address.
+func TestLostDiskIsReplaced(t *testing.T) {
 	g := gomega.NewWithT(t)
 	fresh := raft.Peer{ID: "c2", Addr: "at-c", Domain: "z"}
 	group := GroupStatus{
@@ -23,57 +23,55 @@
 		Health:     map[string]Health{"b": {}, "c": {SilentFor: time.Second}},
 		Candidates: []raft.Peer{peer("a", "x"), peer("b", "y"), fresh},
 	}
-	p, ok := NextChange(group, opt)
+	p, ok := NextChange(group, testOptions)
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(p.Conf.IsLearner("c2")).To(gomega.BeTrue())
 	g.Expect(p.Conf.Voters).To(gomega.HaveLen(3))
 
 	group.Conf = p.Conf
 	group.Health["c2"] = Health{Lag: 1000}
-	_, ok = NextChange(group, opt)
-	g.Expect(ok).To(gomega.BeFalse(), "a learner that lags gets no vote")
+	_, ok = NextChange(group, testOptions)
+	g.Expect(ok).To(gomega.BeFalse(), "a lagging learner must not be promoted")
 
 	group.Health["c2"] = Health{Lag: 3}
-	p, _ = NextChange(group, opt)
+	p, _ = NextChange(group, testOptions)
 	g.Expect(p.Conf.IsVoter("c2")).To(gomega.BeTrue())
 	g.Expect(p.Conf.Voters).To(gomega.HaveLen(4))
 
 	group.Conf = p.Conf
-	p, _ = NextChange(group, opt)
+	p, _ = NextChange(group, testOptions)
 	g.Expect(p.Conf.IsVoter("c")).To(gomega.BeFalse())
 	g.Expect(p.Conf.Voters).To(gomega.HaveLen(3))
 
 	group.Conf = p.Conf
-	_, ok = NextChange(group, opt)
+	_, ok = NextChange(group, testOptions)
 	g.Expect(ok).To(gomega.BeFalse())
 }
 
-func TestASilentReplicaIsReplacedFromTheEmptiestDomain(t *testing.T) {
+func TestReplacementComesFromLeastUsedDomain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	group := GroupStatus{
 		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, LeaderID: "a",
 		Health:     map[string]Health{"b": {}, "c": {SilentFor: 2 * time.Minute}},
 		Candidates: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("d", "x"), peer("e", "w")},
 	}
-	p, _ := NextChange(group, opt)
+	p, _ := NextChange(group, testOptions)
 	g.Expect(p.Conf.IsLearner("e")).To(gomega.BeTrue())
 }
 
-func TestNobodyToTakeThePlaceChangesNothing(t *testing.T) {
+func TestNoChangeWithoutReplacement(t *testing.T) {
 	g := gomega.NewWithT(t)
 	_, ok := NextChange(GroupStatus{
 		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, LeaderID: "a",
 		Health:     map[string]Health{"b": {}, "c": {SilentFor: time.Hour}},
 		Candidates: []raft.Peer{peer("a", "x"), peer("b", "y")},
-	}, opt)
-	g.Expect(ok).To(gomega.BeFalse(), "removing without a substitute only lowers the quorum")
+	}, testOptions)
+	g.Expect(ok).To(gomega.BeFalse(), "removing a voter without a replacement only reduces fault tolerance")
 }
 
-// TestAReplicaThatAnswersAtTwoAddressesIsNotMoved: a replica answers at the address
-// that the group knows it by, and at another one, from the settings. The group took
-// it for moved to the other address and back, ten times a second, and made no other
-// change: a disk that was lost at the same time was never replaced.
-func TestAReplicaThatAnswersAtTwoAddressesIsNotMoved(t *testing.T) {
+// A replica may respond at its configured address and at another one. Its address must not
+// alternate between them, which would block the replacement of a lost disk.
+func TestReplicaWithTwoAddressesKeepsItsAddress(t *testing.T) {
 	g := gomega.NewWithT(t)
 	other := raft.Peer{ID: "b", Addr: "at-b-too", Domain: "y"}
 	group := GroupStatus{
@@ -81,14 +79,14 @@
 		Health:     map[string]Health{"b": {}, "c": {SilentFor: 2 * time.Minute}},
 		Candidates: []raft.Peer{other, peer("b", "y"), peer("d", "z")},
 	}
-	p, ok := NextChange(group, opt)
+	p, ok := NextChange(group, testOptions)
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(p.Conf.Voters).To(gomega.ContainElement(peer("b", "y")))
 	g.Expect(p.Conf.IsLearner("d")).To(gomega.BeTrue(), p.Reason)
 
-	// Where it no longer answers at its address, it has moved.
+	// It has moved once it no longer responds at its previous address.
 	group.Candidates = []raft.Peer{other, peer("d", "z")}
-	p, ok = NextChange(group, opt)
+	p, ok = NextChange(group, testOptions)
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(p.Conf.Voters).To(gomega.ContainElement(other))
 }
