--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -1,11 +1,10 @@
-// Package wal keeps the state of one replica group in a folder: a snapshot
-// file and a log of checksummed records, synced before Save returns.
+// Package wal persists the state of a replica group in a directory: a snapshot file and a
+// write-ahead log of checksummed records.
 //
-// A record is a length (4 bytes), a CRC-32C (4 bytes) and a msgpack payload.
-// Beside the log stands a mark of how much of it was synced. A record that is
-// cut off or damaged behind the mark was never promised and is dropped;
-// damage before the mark means that the disk lost what it had promised, and
-// Open fails with fault.Corrupt: the caller must treat the disk as lost.
+// A record is a length (4 bytes), a CRC-32C (4 bytes) and a msgpack payload. A separate file
+// stores the synced size of the log. An incomplete or corrupt record beyond the synced size was
+// never acknowledged and is dropped. Corruption below it means that the disk lost acknowledged
+// data: Open fails with fault.Corrupt, and the caller must treat the disk as lost.
 package wal
 
 import (
@@ -24,94 +23,93 @@
 )
 
 const (
-	logName      = "log"
-	snapshotName = "snapshot"
-	markName     = "synced"
-	headerSize   = 8
-	maxRecord    = 64 << 20
-	markSize     = 24
+	logFileName      = "log"
+	snapshotFileName = "snapshot"
+	syncedFileName   = "synced"
+	headerBytes      = 8
+	maxRecordBytes   = 64 << 20
+	syncedFileBytes  = 24
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// record is one step of the log. The entries replace any with the same or a
-// higher index.
+// record is one update in the log. Its entries replace those with the same or a higher index.
 type record struct {
-	// Base is set in a log's first record: the index of the snapshot that
-	// the log continues.
+	// Base is set in the first record of a log: the index of the snapshot that the log
+	// continues.
 	Base    uint64
 	State   *raft.HardState
 	Entries []raft.Entry
 }
 
-// Loaded is what was found on opening.
+// Contents is the persisted state that Open loads.
 type Contents struct {
 	State    raft.HardState
 	Snapshot raft.Snapshot
 	Entries  []raft.Entry
 }
 
-// WAL is the open folder of one replica group. It is not safe for concurrent
-// use.
+// WAL is the open directory of a replica group. It is not safe for concurrent use.
 type WAL struct {
-	dir  string
-	f    *os.File
-	mark *os.File
-	size int64
-	base uint64
-	buf  []byte
-	last Contents
-	// voted is the term and vote that are synced.
-	voted vote
-	// hold is called before each sync; nil for nothing.
-	hold func()
+	dir        string
+	logFile    *os.File
+	syncedFile *os.File
+	logSize    int64
+	baseIndex  uint64
+	buf        []byte
+	contents   Contents
+	// syncedVote is the last synced term and vote.
+	syncedVote termVote
+	// beforeSync, if not nil, is called before each sync.
+	beforeSync func()
 }
 
-// vote is the part of a state that must be synced before it is acted on.
-type vote struct {
+// termVote is the part of the state that must be synced before it is acted on.
+type termVote struct {
 	term uint64
 	id   string
 }
 
-func voteOf(s raft.HardState) vote { return vote{s.Term, s.Vote} }
+func termVoteOf(s raft.HardState) termVote { return termVote{s.Term, s.Vote} }
 
-// Open opens or creates the folder and returns what it holds.
+// Open opens or creates the directory and returns its contents.
 func Open(dir string) (*WAL, Contents, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, Contents{}, fault.Wrap(fault.Internal, err, "cannot make the data folder")
+		return nil, Contents{}, fault.Wrap(fault.Internal, err, "cannot create the data directory")
 	}
 	w := &WAL{dir: dir}
 	if err := w.load(); err != nil {
 		return nil, Contents{}, err
 	}
-	return w, w.last, nil
+	return w, w.contents, nil
 }
 
+// load reads the snapshot and the log, and truncates the log after its last valid record.
 func (w *WAL) load() error {
 	if err := w.loadSnapshot(); err != nil {
 		return err
 	}
 	var err error
-	if w.mark, err = os.OpenFile(w.path(markName), os.O_RDWR|os.O_CREATE, 0o644); err != nil {
-		return fault.Wrap(fault.Internal, err, "cannot open the mark")
+	if w.syncedFile, err = os.OpenFile(w.path(syncedFileName), os.O_RDWR|os.O_CREATE, 0o644); err != nil {
+		return fault.Wrap(fault.Internal, err, "cannot open the file with the synced size")
 	}
-	if w.f, err = os.OpenFile(w.path(logName), os.O_RDWR|os.O_CREATE, 0o644); err != nil {
+	if w.logFile, err = os.OpenFile(w.path(logFileName), os.O_RDWR|os.O_CREATE, 0o644); err != nil {
 		return fault.Wrap(fault.Internal, err, "cannot open the log")
 	}
-	good, err := w.replay()
+	validSize, err := w.replay()
 	if err != nil {
 		return err
 	}
-	if promised := w.readMark(); good < promised {
-		return fault.Newf(fault.Corrupt, "the log is damaged at byte %d of %d that were synced", good, promised)
+	if synced := w.readSyncedSize(); validSize < synced {
+		return fault.Newf(fault.Corrupt, "the log is corrupt at byte %d, but %d bytes were synced", validSize, synced)
 	}
-	w.align()
-	if err := w.f.Truncate(good); err != nil {
-		return fault.Wrap(fault.Internal, err, "cannot cut the log")
+	w.dropCoveredEntries()
+	if err := w.logFile.Truncate(validSize); err != nil {
+		return fault.Wrap(fault.Internal, err, "cannot truncate the log")
 	}
-	w.size = good
-	w.voted = voteOf(w.last.State)
-	if _, err := w.f.Seek(good, io.SeekStart); err != nil {
+	w.logSize = validSize
+	w.syncedVote = termVoteOf(w.contents.State)
+	if _, err := w.logFile.Seek(validSize, io.SeekStart); err != nil {
 		return fault.Wrap(fault.Internal, err, "cannot seek in the log")
 	}
 	return syncDir(w.dir)
@@ -120,130 +118,131 @@
 func (w *WAL) path(name string) string { return filepath.Join(w.dir, name) }
 
 func (w *WAL) loadSnapshot() error {
-	data, err := os.ReadFile(w.path(snapshotName))
+	data, err := os.ReadFile(w.path(snapshotFileName))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
 	if err != nil {
 		return fault.Wrap(fault.Corrupt, err, "cannot read the snapshot")
 	}
-	payload, n := next(data)
-	if n == 0 || n != len(data) || msgpack.Unmarshal(payload, &w.last.Snapshot) != nil {
-		return fault.New(fault.Corrupt, "the snapshot is damaged")
+	payload, n := nextRecord(data)
+	if n == 0 || n != len(data) || msgpack.Unmarshal(payload, &w.contents.Snapshot) != nil {
+		return fault.New(fault.Corrupt, "the snapshot is corrupt")
 	}
 	return nil
 }
 
-// next returns the first record's payload and its whole size, 0 if damaged.
-func next(data []byte) ([]byte, int) {
-	if len(data) < headerSize {
+// nextRecord returns the payload and the total size of the first record; the size is 0 if the
+// record is incomplete or corrupt.
+func nextRecord(data []byte) ([]byte, int) {
+	if len(data) < headerBytes {
 		return nil, 0
 	}
 	n := int(binary.BigEndian.Uint32(data))
-	if n > maxRecord || len(data) < headerSize+n {
+	if n > maxRecordBytes || len(data) < headerBytes+n {
 		return nil, 0
 	}
-	payload := data[headerSize : headerSize+n]
+	payload := data[headerBytes : headerBytes+n]
 	if crc32.Checksum(payload, castagnoli) != binary.BigEndian.Uint32(data[4:]) {
 		return nil, 0
 	}
-	return payload, headerSize + n
+	return payload, headerBytes + n
 }
 
-// replay reads the log and returns how many bytes of it are whole records.
+// replay reads the log and returns the size of its valid records.
 func (w *WAL) replay() (int64, error) {
-	data, err := io.ReadAll(bufio.NewReader(w.f))
+	data, err := io.ReadAll(bufio.NewReader(w.logFile))
 	if err != nil {
 		return 0, fault.Wrap(fault.Corrupt, err, "cannot read the log")
 	}
-	var good int64
-	w.base = w.last.Snapshot.Index
+	var validSize int64
+	w.baseIndex = w.contents.Snapshot.Index
 	for {
-		payload, n := next(data[good:])
+		payload, n := nextRecord(data[validSize:])
 		if n == 0 {
-			return good, nil
+			return validSize, nil
 		}
 		var r record
 		if err := msgpack.Unmarshal(payload, &r); err != nil {
-			return good, nil
+			return validSize, nil
 		}
-		if good == 0 {
-			w.base = r.Base
+		if validSize == 0 {
+			w.baseIndex = r.Base
 		}
-		w.take(r)
-		good += int64(n)
+		w.applyRecord(r)
+		validSize += int64(n)
 	}
 }
 
-// take applies a record of a log that begins after base.
-func (w *WAL) take(r record) {
+// applyRecord updates the contents with a record of the log that starts after baseIndex.
+func (w *WAL) applyRecord(r record) {
 	if r.State != nil {
-		w.last.State = *r.State
+		w.contents.State = *r.State
 	}
 	for _, e := range r.Entries {
-		at := int64(e.Index) - int64(w.base) - 1
-		if at < 0 || at > int64(len(w.last.Entries)) {
+		at := int64(e.Index) - int64(w.baseIndex) - 1
+		if at < 0 || at > int64(len(w.contents.Entries)) {
 			continue
 		}
-		w.last.Entries = append(w.last.Entries[:at], e)
+		w.contents.Entries = append(w.contents.Entries[:at], e)
 	}
 }
 
-// align drops the entries that the snapshot covers, where a crash came between
-// writing a snapshot and the log that continues it. Entries that do not lead
-// through the snapshot's last one belong to a history that it replaced.
-func (w *WAL) align() {
-	snap := &w.last.Snapshot
-	if w.base == snap.Index {
+// dropCoveredEntries drops the entries covered by the snapshot, after a crash between writing
+// the snapshot and replacing the log. If the log does not match the snapshot's last entry, it
+// drops all entries.
+func (w *WAL) dropCoveredEntries() {
+	snap := &w.contents.Snapshot
+	if w.baseIndex == snap.Index {
 		return
 	}
-	at := int64(snap.Index) - int64(w.base) - 1
-	if at < 0 || at >= int64(len(w.last.Entries)) || w.last.Entries[at].Term != snap.Term {
-		w.last.Entries = nil
+	at := int64(snap.Index) - int64(w.baseIndex) - 1
+	if at < 0 || at >= int64(len(w.contents.Entries)) || w.contents.Entries[at].Term != snap.Term {
+		w.contents.Entries = nil
 		return
 	}
-	w.last.Entries = append([]raft.Entry(nil), w.last.Entries[at+1:]...)
+	w.contents.Entries = append([]raft.Entry(nil), w.contents.Entries[at+1:]...)
 }
 
-// readMark returns how many bytes of this log were synced; 0 if the mark is
-// damaged or belongs to another log, which says nothing about this one.
-func (w *WAL) readMark() int64 {
-	var b [markSize]byte
-	if _, err := w.mark.ReadAt(b[:], 0); err != nil {
+// readSyncedSize returns the synced size of the log, or 0 if the stored size is corrupt or
+// belongs to another log.
+func (w *WAL) readSyncedSize() int64 {
+	var b [syncedFileBytes]byte
+	if _, err := w.syncedFile.ReadAt(b[:], 0); err != nil {
 		return 0
 	}
 	base, n := binary.BigEndian.Uint64(b[:]), binary.BigEndian.Uint64(b[8:])
-	if base != w.base || base^n != ^binary.BigEndian.Uint64(b[16:]) {
+	if base != w.baseIndex || base^n != ^binary.BigEndian.Uint64(b[16:]) {
 		return 0
 	}
 	return int64(n)
 }
 
-// writeMark needs no sync: after a loss of power an older mark only
-// means that less is held to have been promised.
-func (w *WAL) writeMark() error {
-	var b [markSize]byte
-	binary.BigEndian.PutUint64(b[:], w.base)
-	binary.BigEndian.PutUint64(b[8:], uint64(w.size))
-	binary.BigEndian.PutUint64(b[16:], ^(w.base ^ uint64(w.size)))
-	_, err := w.mark.WriteAt(b[:], 0)
+// writeSyncedSize stores the synced size of the log. It needs no sync: an outdated size only
+// makes Open accept the loss of more records.
+func (w *WAL) writeSyncedSize() error {
+	var b [syncedFileBytes]byte
+	binary.BigEndian.PutUint64(b[:], w.baseIndex)
+	binary.BigEndian.PutUint64(b[8:], uint64(w.logSize))
+	binary.BigEndian.PutUint64(b[16:], ^(w.baseIndex ^ uint64(w.logSize)))
+	_, err := w.syncedFile.WriteAt(b[:], 0)
 	return err
 }
 
-// HoldSyncs has hold called before each sync: what is not synced is delayed with it, as
-// on a disk that does not answer. It is set before the log is used.
-func (w *WAL) SetBeforeSync(hold func()) { w.hold = hold }
+// SetBeforeSync sets a function that is called before each sync; tests use it to simulate a
+// stalled disk. It must be called before the WAL is used.
+func (w *WAL) SetBeforeSync(hold func()) { w.beforeSync = hold }
 
-func (w *WAL) awaitDisk() {
-	if w.hold != nil {
-		w.hold()
+func (w *WAL) callBeforeSync() {
+	if w.beforeSync != nil {
+		w.beforeSync()
 	}
 }
 
-// Save persists a Ready and syncs it.
+// Save persists a Ready. It syncs the log unless at most the commit index changes.
 func (w *WAL) Save(r *raft.Ready) error {
 	if r.Snapshot != nil {
-		st := w.last.State
+		st := w.contents.State
 		if r.State != nil {
 			st = *r.State
 		}
@@ -253,91 +252,92 @@
 		return nil
 	}
 	if r.State != nil {
-		w.last.State = *r.State
+		w.contents.State = *r.State
 	}
-	return w.appendRecord(record{State: r.State, Entries: r.Entries}, onlyCommit(r))
+	return w.appendRecord(record{State: r.State, Entries: r.Entries}, isStateOnly(r))
 }
 
-// onlyCommit tells whether a Ready moves no more than the commit index, which
-// need not last: it is learnt again from the leader.
-func onlyCommit(r *raft.Ready) bool { return len(r.Entries) == 0 && r.State != nil }
+// isStateOnly reports whether a Ready holds only a state. If its term and vote are already
+// synced, no sync is needed: the commit index is learned again from the leader.
+func isStateOnly(r *raft.Ready) bool { return len(r.Entries) == 0 && r.State != nil }
 
-func (w *WAL) appendRecord(rec record, lazy bool) error {
+func (w *WAL) appendRecord(rec record, stateOnly bool) error {
 	payload, err := msgpack.Marshal(&rec)
 	if err != nil {
 		return fault.Wrap(fault.Internal, err, "cannot encode a record")
 	}
-	w.buf = frame(w.buf[:0], payload)
-	if _, err := w.f.Write(w.buf); err != nil {
+	w.buf = appendFrame(w.buf[:0], payload)
+	if _, err := w.logFile.Write(w.buf); err != nil {
 		return fault.Wrap(fault.Corrupt, err, "cannot write the log")
 	}
-	w.size += int64(len(w.buf))
-	if lazy && voteOf(*rec.State) == w.voted {
+	w.logSize += int64(len(w.buf))
+	if stateOnly && termVoteOf(*rec.State) == w.syncedVote {
 		return nil
 	}
-	w.awaitDisk()
-	if err := w.f.Sync(); err != nil {
+	w.callBeforeSync()
+	if err := w.logFile.Sync(); err != nil {
 		return fault.Wrap(fault.Corrupt, err, "cannot sync the log")
 	}
-	w.voted = voteOf(w.last.State)
-	return w.writeMark()
+	w.syncedVote = termVoteOf(w.contents.State)
+	return w.writeSyncedSize()
 }
 
-// Reset replaces the folder's content by a snapshot, a state and the entries
-// after the snapshot. The new files take the place of the old ones whole.
+// Reset replaces the contents by a snapshot, a state and the entries after the snapshot. Each
+// file is replaced atomically.
 func (w *WAL) Reset(snap raft.Snapshot, st raft.HardState, entries []raft.Entry) error {
-	w.awaitDisk()
+	w.callBeforeSync()
 	payload, err := msgpack.Marshal(&snap)
 	if err != nil {
 		return fault.Wrap(fault.Internal, err, "cannot encode a snapshot")
 	}
-	// The log is replaced after the snapshot. A crash between the two leaves
-	// a log whose entries the snapshot covers or continues.
-	if err := replaceFile(w.dir, snapshotName, frame(nil, payload)); err != nil {
+	// The log is replaced after the snapshot. A crash in between leaves an older log, which
+	// load aligns with the snapshot.
+	if err := replaceFile(w.dir, snapshotFileName, appendFrame(nil, payload)); err != nil {
 		return err
 	}
 	payload, err = msgpack.Marshal(&record{snap.Index, &st, entries})
 	if err != nil {
 		return fault.Wrap(fault.Internal, err, "cannot encode a record")
 	}
-	log := frame(nil, payload)
-	if err := replaceFile(w.dir, logName, log); err != nil {
+	log := appendFrame(nil, payload)
+	if err := replaceFile(w.dir, logFileName, log); err != nil {
 		return err
 	}
 	return w.reopen(snap, st, int64(len(log)))
 }
 
 func (w *WAL) reopen(snap raft.Snapshot, st raft.HardState, size int64) error {
-	_ = w.f.Close()
-	f, err := os.OpenFile(w.path(logName), os.O_RDWR, 0o644)
+	_ = w.logFile.Close()
+	f, err := os.OpenFile(w.path(logFileName), os.O_RDWR, 0o644)
 	if err != nil {
 		return fault.Wrap(fault.Corrupt, err, "cannot open the log")
 	}
 	if _, err := f.Seek(size, io.SeekStart); err != nil {
 		return fault.Wrap(fault.Corrupt, err, "cannot seek in the log")
 	}
-	w.f = f
-	w.size = size
-	w.base = snap.Index
-	w.last.Snapshot = snap
-	w.last.State = st
-	w.voted = voteOf(st)
-	return w.writeMark()
+	w.logFile = f
+	w.logSize = size
+	w.baseIndex = snap.Index
+	w.contents.Snapshot = snap
+	w.contents.State = st
+	w.syncedVote = termVoteOf(st)
+	return w.writeSyncedSize()
 }
 
-// Close closes the files.
+// Close closes the files without a sync.
 func (w *WAL) Close() {
-	_ = w.f.Close()
-	_ = w.mark.Close()
+	_ = w.logFile.Close()
+	_ = w.syncedFile.Close()
 }
 
-func frame(b, payload []byte) []byte {
+// appendFrame appends the record of a payload to b.
+func appendFrame(b, payload []byte) []byte {
 	b = binary.BigEndian.AppendUint32(b, uint32(len(payload)))
 	b = binary.BigEndian.AppendUint32(b, crc32.Checksum(payload, castagnoli))
 	return append(b, payload...)
 }
 
-// replaceFile writes a file beside the old one, syncs it and puts it in place.
+// replaceFile atomically replaces a file with synced contents.
 func replaceFile(dir, name string, data []byte) error {
 	tmp := filepath.Join(dir, name+".new")
 	f, err := os.Create(tmp)
@@ -362,17 +362,17 @@
 func syncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
-		return fault.Wrap(fault.Corrupt, err, "cannot open the data folder")
+		return fault.Wrap(fault.Corrupt, err, "cannot open the data directory")
 	}
 	defer func() { _ = d.Close() }()
 	if err := d.Sync(); err != nil {
-		return fault.Wrap(fault.Corrupt, err, "cannot sync the data folder")
+		return fault.Wrap(fault.Corrupt, err, "cannot sync the data directory")
 	}
 	return nil
 }
 
-// State returns the state last saved.
-func (w *WAL) State() raft.HardState { return w.last.State }
+// State returns the last saved state.
+func (w *WAL) State() raft.HardState { return w.contents.State }
 
-// WriteFile puts a file into a folder whole and synced.
+// WriteFileAtomic atomically writes a file to a directory and syncs it.
 func WriteFileAtomic(dir, name string, data []byte) error { return replaceFile(dir, name, data) }
