--- a/member/meta.go
+++ b/member/meta.go
@@ -1,5 +1,5 @@
-// Package member defines what a node says of itself and of its failure
-// domain to others: the payloads of gossip records.
+// Package member defines the payloads of gossip records: what a node publishes about itself
+// within its failure domain, and what a failure domain publishes to the others.
 package member
 
 import (
@@ -13,24 +13,24 @@
 	"github.com/umberthread/umberthread/internal/codec"
 )
 
-// State is the state of the backend server beside a node.
+// State is the state of the backend server of a node.
 type State uint8
 
 // The states of a backend server.
 const (
-	// Absent means that none has announced itself, or its lease ran out.
+	// Absent means that none is registered or that its lease has expired.
 	Absent State = iota
-	// Starting means that it is not ready for requests.
+	// Starting means that it is not ready for requests yet.
 	Starting
-	// Serving means that it takes requests.
+	// Serving means that it accepts requests.
 	Serving
-	// Draining means that it finishes what it has and takes nothing new.
+	// Draining means that it completes its requests and accepts no new ones.
 	Draining
 )
 
 var stateNames = [...]string{"absent", "starting", "serving", "draining"}
 
-// String returns the state's name in announcements.
+// String returns the name of the state as used in announcements.
 func (s State) String() string {
 	if int(s) >= len(stateNames) {
 		return "invalid"
@@ -38,7 +38,7 @@
 	return stateNames[s]
 }
 
-// ParseState returns the state with the given name.
+// ParseState returns the state with the given name, or false if there is none.
 func ParseState(name string) (State, bool) {
 	for i, n := range stateNames {
 		if n == name {
@@ -48,58 +48,60 @@
 	return Absent, false
 }
 
-// Meta is what a node says of itself to its failure domain.
+// Meta describes a node to its failure domain.
 type Meta struct {
-	// Name is the node's name in its settings.
+	// Name is the name of the node in its settings.
 	Name string
-	// Data, HTTP and Admin are its addresses; Control is the member's own.
+	// Data, HTTP and Admin are addresses of the node. Its control address is the member
+	// address.
 	Data, HTTP, Admin string
-	// Service is fleet/service of the backend server beside it.
+	// Service is the fleet/service of its backend server.
 	Service string
-	// Slots and Weight are as announced.
+	// Slots and Weight are as announced by the backend server.
 	Slots  int
 	Weight float64
-	// State is the backend server's.
+	// State is the state of the backend server.
 	State State
 	// Replica is the identity of the replica on this node's disk, or "".
 	Replica string
-	// Start counts the starts of backend servers beside the node: what was
-	// observed of an earlier one says nothing of the next.
+	// Start numbers the runs of backend servers on the node. Observations of an earlier run
+	// do not apply to a later one.
 	Start uint32
-	// Ended is the last start that ended with requests in work, or nil.
+	// Ended is the last backend server that terminated with requests in flight, or nil.
 	Ended *Termination
-	// Answered are marks of requests that were suspected and then answered.
+	// Answered lists requests that were suspected of terminating backend servers and then
+	// answered.
 	Answered []AnsweredRequest
 }
 
-// Answer tells that a request was answered.
+// AnsweredRequest reports that a suspected request was answered. Mark is its fingerprint.
 type AnsweredRequest struct {
 	Mark uint64
-	// AtMs is when, in milliseconds of the Unix time by the node's clock.
+	// AtMs is the time of the answer by the node's clock, in Unix milliseconds.
 	AtMs int64
 }
 
-// MaxAnswers bounds the answers that one record names: the last ones.
+// MaxAnswers limits the answers in one record, which holds the latest ones.
 const MaxAnswers = 4
 
-// End tells of a backend server that ended with requests in work.
+// Termination reports a backend server that terminated with requests in flight.
 type Termination struct {
-	// Start is as in Meta, and Service the backend server's.
+	// Start is as in Meta, and Service the service of the backend server.
 	Start   uint32
 	Service string
-	// AtMs is when it ended, in milliseconds of the Unix time by its node's clock.
+	// AtMs is the time of the termination by the node's clock, in Unix milliseconds.
 	AtMs int64
-	// Marks are of requests that it had in work, at most MaxEndMarks: see package
+	// Marks holds the fingerprints of the requests in flight, at most MaxFingerprints; see package
 	// quarantine.
 	Marks []uint64
 }
 
-// MaxEndMarks bounds the marks of one End, which ride in one packet with the rest.
+// MaxFingerprints limits the fingerprints of one Termination, so that a record fits into a packet.
 const MaxFingerprints = 48
 
-// RemoteEnd is an End beside a node of another failure domain.
+// RemoteTermination is a Termination on a node of another failure domain.
 type RemoteTermination struct {
-	// ID is the node's.
+	// ID is the ID of the node.
 	ID string
 	Termination
 }
@@ -107,71 +109,71 @@
 // Encode returns the payload of a member record.
 func (m *Meta) Encode() []byte { return codec.Encode(m) }
 
-// DecodeMeta reads the payload of a member record. One that names a backend
-// server which cannot be used is taken as naming none.
+// DecodeMeta decodes the payload of a member record. If the record's serving backend server is
+// not usable, it sets the state to Absent.
 func DecodeMeta(b []byte) (*Meta, error) {
 	var m Meta
 	if err := codec.Decode(b, &m); err != nil {
 		return nil, err
 	}
-	if m.State == Serving && !usable(m.Data, m.Slots, m.Weight) {
-		// The node is a member all the same; no backend server is named.
+	if m.State == Serving && !isUsableBackend(m.Data, m.Slots, m.Weight) {
+		// The node itself remains a member.
 		m.State = Absent
 	}
 	if m.Ended != nil {
-		m.Ended.Marks = bounded(m.Ended.Marks)
+		m.Ended.Marks = truncateFingerprints(m.Ended.Marks)
 	}
 	m.Answered = m.Answered[:min(len(m.Answered), MaxAnswers)]
 	return &m, nil
 }
 
-// bounded cuts what no node of this kind says down to what one may say.
-func bounded(marks []uint64) []uint64 { return marks[:min(len(marks), MaxFingerprints)] }
+// truncateFingerprints limits the fingerprints to the number that a valid node sends.
+func truncateFingerprints(marks []uint64) []uint64 { return marks[:min(len(marks), MaxFingerprints)] }
 
 const (
-	// MaxSlots and MaxWeight bound what a backend server may announce; a record
-	// beyond them is not of a node of this kind.
+	// MaxSlots and MaxWeight limit what a backend server may announce. Records that exceed
+	// them are invalid.
 	MaxSlots  = 1 << 14
 	MaxWeight = 100
 )
 
-// usable tells whether a record names a backend server that requests can be
-// sent to.
-func usable(addr string, slots int, weight float64) bool {
+// isUsableBackend reports whether requests can be sent to a backend server with the given
+// address, slots and weight.
+func isUsableBackend(addr string, slots int, weight float64) bool {
 	host, port, err := net.SplitHostPort(addr)
 	return err == nil && net.ParseIP(host) != nil && port != "" &&
 		slots >= 1 && slots <= MaxSlots && weight > 0 && weight <= MaxWeight
 }
 
-// ReplicaService is the pseudo service under which the nodes with a disk are
-// summarised.
+// ReplicaService is the pseudo-service under which a failure domain publishes its nodes with
+// replicas.
 const ReplicaService = "_replica"
 
-// endedService begins the pseudo services under which a failure domain tells the others
-// which of its backend servers ended lately. Each takes one end, which fits in a packet.
-const endedService = "_ended."
+// terminationServicePrefix begins the pseudo-services under which a failure domain publishes recent
+// terminations of its backend servers. Each holds one termination, so that it fits into a packet.
+const terminationServicePrefix = "_ended."
 
-// EndSlots is how many ends a failure domain tells the others at once.
+// TerminationSlots is the number of terminations that a failure domain publishes at a time.
 const TerminationSlots = 4
 
-// EndSlot returns the slot of an end beside the node with an id: the same for all that
-// tell of it.
+// TerminationSlot returns the slot of a termination on the node with the given ID. It is the same on all
+// members that publish the termination.
 func TerminationSlot(id string, start uint32) int {
-	return int((weigh(id) + uint64(start)) % TerminationSlots)
+	return int((hashID(id) + uint64(start)) % TerminationSlots)
 }
 
-// EndedService returns the pseudo service of a slot.
-func TerminationService(slot int) string { return endedService + strconv.Itoa(slot) }
+// TerminationService returns the pseudo-service of a slot.
+func TerminationService(slot int) string { return terminationServicePrefix + strconv.Itoa(slot) }
 
-// IsEnded tells whether a record holds a Summary of ends.
+// IsTerminationSummary reports whether a record key belongs to a Summary of a termination.
 func IsTerminationSummary(key string) bool {
-	return IsSummary(key) && strings.Contains(key, "/"+endedService)
+	return IsSummary(key) && strings.Contains(key, "/"+terminationServicePrefix)
 }
 
-// SummaryInstances is how many instances of a service a summary names.
+// SummaryInstances is the maximum number of instances in a Summary.
 const SummaryInstances = 8
 
-// Remote is an instance of another failure domain.
+// RemoteInstance is an instance of a service in another failure domain.
 type RemoteInstance struct {
 	ID     string
 	Addr   string
@@ -181,30 +183,30 @@
 	Start uint32
 }
 
-// Summary is what a failure domain tells the others about one service.
+// Summary describes a service of one failure domain to the others.
 type Summary struct {
 	Domain  string
 	Service string
-	// Instances are some that serve, at most SummaryInstances.
+	// Instances are some of the serving instances, at most SummaryInstances.
 	Instances []RemoteInstance
-	// End and Answered, at most MaxAnswers, are told under EndedService alone.
+	// End and Answered, at most MaxAnswers, are set only under TerminationService.
 	End      *RemoteTermination
 	Answered []AnsweredRequest
 }
 
-// Blank tells whether the summary names nothing.
+// IsEmpty reports whether the summary has no instances, termination or answers.
 func (s *Summary) IsEmpty() bool {
 	return len(s.Instances) == 0 && s.End == nil && len(s.Answered) == 0
 }
 
-// Link is what one linking member knows of another failure domain.
+// Link is the view that a link member has of another failure domain.
 type Link struct {
 	Domain string
-	// By is the id of the linking member.
+	// By is the ID of the link member.
 	By string
-	// Reachable is false while the domain does not answer it.
+	// Reachable is false while the domain does not respond to the member.
 	Reachable bool
-	// Control are the control addresses of its linking members.
+	// Control lists the control addresses of the domain's link members.
 	Control []string
 }
 
@@ -216,23 +218,22 @@
 // SummaryKey returns the record key of a summary.
 func SummaryKey(domain, service string) string { return summaryPrefix + domain + "/" + service }
 
-// LinkKey returns the record key of what the member by knows of a domain.
+// LinkKey returns the record key of the Link from the member by to a domain.
 func LinkKey(domain, by string) string { return linkPrefix + domain + "/" + by }
 
-// IsSummary tells whether a record holds a Summary.
+// IsSummary reports whether a record key belongs to a Summary.
 func IsSummary(key string) bool { return strings.HasPrefix(key, summaryPrefix) }
 
-// IsLink tells whether a record holds a Link.
+// IsLink reports whether a record key belongs to a Link.
 func IsLink(key string) bool { return strings.HasPrefix(key, linkPrefix) }
 
-// Linking returns the n of the ids that link their failure domain to the
-// others. Every member works it out alone from the ids it holds alive
-// ("rendezvous hashing", Thaler and Ravishankar, 1998): where two members
-// differ for a moment a domain has a link more, which does no harm.
+// SelectLinkMembers selects the n of the ids that link their failure domain to the others by
+// rendezvous hashing (Thaler and Ravishankar, 1998). Each member selects from its own view;
+// where views differ, a domain temporarily has an additional link, which is harmless.
 func SelectLinkMembers(ids []string, n int) []string {
 	out := append([]string(nil), ids...)
 	sort.Slice(out, func(i, j int) bool {
-		a, b := weigh(out[i]), weigh(out[j])
+		a, b := hashID(out[i]), hashID(out[j])
 		if a != b {
 			return a > b
 		}
@@ -241,11 +242,12 @@
 	return out[:min(n, len(out))]
 }
 
-func weigh(id string) uint64 {
+// hashID returns the rendezvous hash of an ID.
+func hashID(id string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id))
 	v := h.Sum64()
-	// FNV spreads short ids badly in the high bits.
+	// Mix the bits: FNV distributes short IDs poorly in the high bits.
 	v ^= v >> 29
 	v *= 0xbf58476d1ce4e5b9
 	return v ^ v>>32
@@ -257,8 +259,7 @@
 // Encode returns the payload of a link record.
 func (l *Link) Encode() []byte { return codec.Encode(l) }
 
-// DecodeSummary reads the payload of a summary record. Instances that cannot be
-// used are left out; the others hold.
+// DecodeSummary decodes the payload of a summary record. It omits unusable instances.
 func DecodeSummary(b []byte) (*Summary, error) {
 	var s Summary
 	if err := codec.Decode(b, &s); err != nil {
@@ -266,15 +267,15 @@
 	}
 	s.Answered = s.Answered[:min(len(s.Answered), MaxAnswers)]
 	if s.End != nil {
-		s.End.Marks = bounded(s.End.Marks)
+		s.End.Marks = truncateFingerprints(s.End.Marks)
 	}
 	if s.Service != ReplicaService {
-		s.Instances = slices.DeleteFunc(s.Instances, func(r RemoteInstance) bool { return !usable(r.Addr, r.Slots, r.Weight) })
+		s.Instances = slices.DeleteFunc(s.Instances, func(r RemoteInstance) bool { return !isUsableBackend(r.Addr, r.Slots, r.Weight) })
 	}
 	return &s, nil
 }
 
-// DecodeLink reads the payload of a link record.
+// DecodeLink decodes the payload of a link record.
 func DecodeLink(b []byte) (*Link, error) {
 	var l Link
 	if err := codec.Decode(b, &l); err != nil {
