--- a/raft/core.go
+++ b/raft/core.go
@@ -28,15 +28,15 @@
 
 // progress is a leader's view of another replica.
 type progress struct {
-	// match is the highest index known to be persisted on the replica.
-	match uint64
-	// next is the index of the next entry to send.
-	next uint64
-	// heartbeatMatch is match as of the last answered heartbeat round, and heartbeatNext
-	// is next as of the sending of the current round, heartbeatRound.
-	heartbeatMatch, heartbeatNext, heartbeatRound uint64
-	// ackedRound is the last heartbeat round that the replica answered.
-	ackedRound uint64
+	// matchIndex is the highest index known to be persisted on the replica.
+	matchIndex uint64
+	// nextIndex is the index of the next entry to send.
+	nextIndex uint64
+	// heartbeatMatchIndex is matchIndex as of the last answered heartbeat round, and
+	// heartbeatNextIndex is nextIndex as of the sending of the current round, heartbeatRound.
+	heartbeatMatchIndex, heartbeatNextIndex, heartbeatRound uint64
+	// ackedHeartbeatRound is the last heartbeat round that the replica answered.
+	ackedHeartbeatRound uint64
 	// recentlyActive is set by any message since the last quorum check.
 	recentlyActive bool
 	// silentTicks counts the ticks since the last message.
@@ -76,9 +76,9 @@
 	// preVotes holds the responses to a pre-vote. votes holds those of the current term
 	// after this replica became a candidate in it, and is nil otherwise.
 	preVotes, votes map[string]bool
-	// deferred is set once this replica has delayed its own election for a candidate.
-	deferred bool
-	// peers holds the progress of the other replicas; it is nil unless this replica leads.
+	// electionDeferred is set once this replica has delayed its own election for a candidate.
+	electionDeferred bool
+	// peers holds the progress of all members; it is nil unless this replica leads.
 	peers          map[string]*progress
 	heartbeatRound uint64
 	pendingReads   []pendingRead
@@ -93,9 +93,9 @@
 	transferee    string
 	transferTicks int
 
-	// immediateMessages may be sent at once, messages only after the next save.
+	// immediateMessages may be sent at once, messagesAfterSave only after the next save.
 	immediateMessages []Message
-	messages          []Message
+	messagesAfterSave []Message
 	readResults       []ReadResult
 	restoredSnapshot  *Snapshot
 }
@@ -104,9 +104,9 @@
 // the snapshot. A new replica has none of them and waits for a leader to add it to a group.
 func New(o Options, st HardState, snap Snapshot, entries []Entry) *Core {
 	c := &Core{options: o, state: st, savedState: st}
-	c.log = raftLog{snap: snap, entries: entries, commit: max(st.Commit, snap.Index), applied: snap.Index}
-	c.log.stable = c.log.last()
-	c.log.commit = min(c.log.commit, c.log.last())
+	c.log = raftLog{snapshot: snap, entries: entries, commitIndex: max(st.Commit, snap.Index), appliedIndex: snap.Index}
+	c.log.stableIndex = c.log.lastIndex()
+	c.log.commitIndex = min(c.log.commitIndex, c.log.lastIndex())
 	c.refreshConf()
 	c.becomeFollower(st.Term, "")
 	return c
@@ -130,16 +130,16 @@
 func (c *Core) Conf() Conf { return c.conf.clone() }
 
 // Applied returns the last index that was returned for application.
-func (c *Core) Applied() uint64 { return c.log.applied }
+func (c *Core) Applied() uint64 { return c.log.appliedIndex }
 
 // Commit returns the last committed index.
-func (c *Core) Commit() uint64 { return c.log.commit }
+func (c *Core) Commit() uint64 { return c.log.commitIndex }
 
 // LogLen returns the number of entries after the snapshot.
 func (c *Core) LogLen() int { return len(c.log.entries) }
 
 // ConfPending reports whether a membership change is uncommitted.
-func (c *Core) ConfPending() bool { return c.confIndex > c.log.commit }
+func (c *Core) ConfPending() bool { return c.confIndex > c.log.commitIndex }
 
 // UnsavedTicks returns the number of ticks during which another replica lacked entries and
 // confirmed none of them, which indicates a stalled disk even if the replica responds. It
@@ -154,15 +154,15 @@
 // PeerStatus returns the ticks since the leader last heard from a replica and the number of
 // entries that the replica lacks; ok is false if this replica is not the leader or does not
 // know the other. The lag of a replica that has confirmed nothing is math.MaxUint64.
-func (c *Core) PeerStatus(id string) (ticks int, lag uint64, ok bool) {
+func (c *Core) PeerStatus(id string) (silentTicks int, lag uint64, ok bool) {
 	peer := c.peers[id]
 	if c.role != Leader || peer == nil {
 		return 0, 0, false
 	}
-	if peer.match == 0 {
+	if peer.matchIndex == 0 {
 		return peer.silentTicks, math.MaxUint64, true
 	}
-	return peer.silentTicks, c.log.last() - peer.match, true
+	return peer.silentTicks, c.log.lastIndex() - peer.matchIndex, true
 }
 
 // Campaign starts an election immediately, for tests and groups of one replica.
@@ -174,8 +174,8 @@
 	if err := c.checkCanPropose(); err != nil {
 		return 0, 0, err
 	}
-	e := c.append(Entry{Type: EntryData, Data: data})
-	c.broadcast()
+	e := c.appendEntry(Entry{Type: EntryData, Data: data})
+	c.broadcastAppend()
 	return e.Index, e.Term, nil
 }
 
@@ -198,16 +198,16 @@
 	if err := c.checkCanPropose(); err != nil {
 		return err
 	}
-	if t, _ := c.log.term(c.log.commit); c.ConfPending() || t != c.state.Term {
+	if t, _ := c.log.term(c.log.commitIndex); c.ConfPending() || t != c.state.Term {
 		return fault.New(fault.Conflict, "another membership change is in progress")
 	}
 	if voterChanges(c.conf, next) > 1 || len(next.Voters) == 0 {
 		return fault.New(fault.BadRequest, "only one voter can be changed at a time")
 	}
 	next = next.clone()
-	c.append(Entry{Type: EntryConf, Conf: &next})
+	c.appendEntry(Entry{Type: EntryConf, Conf: &next})
 	c.refreshConf()
-	c.broadcast()
+	c.broadcastAppend()
 	return nil
 }
 
@@ -230,13 +230,13 @@
 // ReadIndex requests a linearizable read. The result appears in Ready.Reads under the given
 // ID.
 func (c *Core) ReadIndex(id uint64) {
-	t, _ := c.log.term(c.log.commit)
+	t, _ := c.log.term(c.log.commitIndex)
 	if c.role != Leader || t != c.state.Term {
 		c.readResults = append(c.readResults, ReadResult{ID: id})
 		return
 	}
 	c.heartbeatRound++
-	c.pendingReads = append(c.pendingReads, pendingRead{id, c.log.commit, c.heartbeatRound})
+	c.pendingReads = append(c.pendingReads, pendingRead{id, c.log.commitIndex, c.heartbeatRound})
 	c.sendHeartbeats()
 	c.confirmReads()
 }
@@ -245,7 +245,7 @@
 // save is in progress or if the index is not persisted.
 func (c *Core) Compact(index uint64, data []byte) (Snapshot, bool) {
 	term, ok := c.log.term(index)
-	if !ok || index > min(c.log.applied, c.log.stable) || index <= c.log.snap.Index || c.saving {
+	if !ok || index > min(c.log.appliedIndex, c.log.stableIndex) || index <= c.log.snapshot.Index || c.saving {
 		return Snapshot{}, false
 	}
 	snap := Snapshot{Index: index, Term: term, Conf: c.log.confAt(index).clone(), Data: data}
@@ -261,7 +261,7 @@
 	if c.state.Term != c.savedState.Term {
 		// Nothing may be sent in a new term before the term is persisted, or the replica
 		// could lead the term again with different entries after a restart.
-		c.messages = append(c.messages, r.ImmediateMessages...)
+		c.messagesAfterSave = append(c.messagesAfterSave, r.ImmediateMessages...)
 		r.ImmediateMessages = nil
 	}
 	if !c.saving {
@@ -270,23 +270,23 @@
 	// Entries persisted by a quorum are applied even if the local save is in progress, so
 	// a stalled local disk blocks nobody. A snapshot must be applied before later entries.
 	if c.restoredSnapshot == nil {
-		r.Committed = slices.Clone(c.log.slice(max(c.log.applied+1, c.log.first()), c.log.commit))
-		c.log.applied = max(c.log.applied, c.log.commit)
+		r.Committed = slices.Clone(c.log.slice(max(c.log.appliedIndex+1, c.log.firstIndex()), c.log.commitIndex))
+		c.log.appliedIndex = max(c.log.appliedIndex, c.log.commitIndex)
 	}
 	return r
 }
 
 // takeUnsaved moves to r everything that must be persisted and the messages that depend on it.
 func (c *Core) takeUnsaved(r *Ready) {
-	c.state.Commit = c.log.commit
+	c.state.Commit = c.log.commitIndex
 	if c.state != c.savedState {
 		st := c.state
 		r.State = &st
 	}
-	r.Snapshot, r.Messages = c.restoredSnapshot, c.messages
-	c.restoredSnapshot, c.messages = nil, nil
-	r.Entries = slices.Clone(c.log.slice(max(c.log.stable+1, c.log.first()), c.log.last()))
-	c.log.savingIndex = c.log.last()
+	r.Snapshot, r.Messages = c.restoredSnapshot, c.messagesAfterSave
+	c.restoredSnapshot, c.messagesAfterSave = nil, nil
+	r.Entries = slices.Clone(c.log.slice(max(c.log.stableIndex+1, c.log.firstIndex()), c.log.lastIndex()))
+	c.log.savingIndex = c.log.lastIndex()
 	c.saving = r.MustSave()
 	c.saveTicks = 0
 }
@@ -300,7 +300,7 @@
 	if r.State != nil {
 		c.savedState = *r.State
 	}
-	c.log.stable = max(c.log.stable, c.log.savingIndex)
+	c.log.stableIndex = max(c.log.stableIndex, c.log.savingIndex)
 	if c.role == Leader && len(r.Entries) > 0 {
 		c.advanceCommit()
 	}
@@ -317,10 +317,10 @@
 	return c.saveTicks
 }
 
-// append adds an entry of the current term to the log.
-func (c *Core) append(e Entry) Entry {
+// appendEntry adds an entry of the current term to the log.
+func (c *Core) appendEntry(e Entry) Entry {
 	e.Term = c.state.Term
-	e.Index = c.log.last() + 1
+	e.Index = c.log.lastIndex() + 1
 	c.log.entries = append(c.log.entries, e)
 	return e
 }
@@ -334,7 +334,7 @@
 	}
 	for _, p := range slices.Concat(c.conf.Voters, c.conf.Learners) {
 		if c.peers[p.ID] == nil {
-			c.peers[p.ID] = &progress{next: c.log.last() + 1}
+			c.peers[p.ID] = &progress{nextIndex: c.log.lastIndex() + 1}
 		}
 	}
 	for id := range c.peers {
@@ -349,9 +349,9 @@
 func (c *Core) startTerm(term uint64) {
 	c.state.Term = term
 	c.state.Vote = ""
-	c.messages = nil
+	c.messagesAfterSave = nil
 	c.leaderMatch = 0
-	c.deferred = false
+	c.electionDeferred = false
 }
 
 // becomeFollower follows leader, "" if unknown, in the given term and fails pending reads.
@@ -375,7 +375,7 @@
 	c.pendingReads = nil
 }
 
-// quorum returns the number of voters in a majority.
+// quorum returns the number of voters that form a majority.
 func (c *Core) quorum() int { return len(c.conf.Voters)/2 + 1 }
 
 // EntriesAfterSnapshot returns a copy of the uncompacted log.
--- a/raft/election.go
+++ b/raft/election.go
@@ -20,7 +20,7 @@
 	for _, p := range c.peers {
 		p.silentTicks++
 		p.unsavedTicks++
-		if p.match == c.log.last() {
+		if p.matchIndex == c.log.lastIndex() {
 			p.unsavedTicks = 0
 		}
 		if p.snapshotWaitTicks > 0 {
@@ -33,7 +33,7 @@
 		c.heartbeatElapsed = 0
 		c.heartbeatRound++
 		for _, p := range c.peers {
-			p.heartbeatNext, p.heartbeatRound = p.next, c.heartbeatRound
+			p.heartbeatNextIndex, p.heartbeatRound = p.nextIndex, c.heartbeatRound
 		}
 		c.sendHeartbeats()
 	}
@@ -97,10 +97,10 @@
 // deferToCandidate delays this replica's own election to avoid splitting the vote between
 // simultaneous candidates. It does so at most once until a leader is heard or the term changes.
 func (c *Core) deferToCandidate() {
-	if c.deferred {
+	if c.electionDeferred {
 		return
 	}
-	c.deferred = true
+	c.electionDeferred = true
 	c.electionTimeout = max(c.electionTimeout, c.electionElapsed+max(1, c.options.ElectionTicks/retryDivisor))
 }
 
@@ -122,7 +122,7 @@
 // requestVotes sends a vote request to all other voters. Requests wait for the save in
 // progress, pre-votes included, as does granting them: a group whose disks stall keeps its term.
 func (c *Core) requestVotes(m Message) {
-	m.Index, m.LogTerm = c.log.last(), c.log.lastTerm()
+	m.Index, m.LogTerm = c.log.lastIndex(), c.log.lastTerm()
 	for _, v := range c.conf.Voters {
 		if v.ID != c.options.ID {
 			m.To = v.ID
@@ -153,6 +153,7 @@
 	return n > len(c.conf.Voters)-c.quorum()
 }
 
+// becomeLeader takes leadership of the current term and appends its first entry.
 func (c *Core) becomeLeader() {
 	c.role = Leader
 	c.leaderID = c.options.ID
@@ -165,11 +166,11 @@
 		p.recentlyActive = true
 	}
 	// An entry of the current term is needed to commit entries of earlier terms.
-	c.append(Entry{Type: EntryData})
-	c.broadcast()
+	c.appendEntry(Entry{Type: EntryData})
+	c.broadcastAppend()
 }
 
-// handleVoteRequest answers MsgPreVote and MsgVote. Grants are sent only after they are persisted.
+// handleVoteRequest answers MsgPreVote and MsgVote. Grants wait for the next save.
 func (c *Core) handleVoteRequest(m Message) {
 	resp := MsgVoteResp
 	if m.Type == MsgPreVote {
@@ -210,6 +211,7 @@
 	return c.role == Leader || c.leaderID != "" && c.electionElapsed < c.options.ElectionTicks
 }
 
+// handleVoteResponse counts a vote and ends the election if it is decided.
 func (c *Core) handleVoteResponse(m Message) {
 	// Votes count until their term ends, even after the next pre-vote has started. A group
 	// whose syncs take longer than the candidate's timeout could otherwise never elect.
@@ -226,6 +228,7 @@
 	}
 }
 
+// handlePreVoteResponse counts a pre-vote and starts the election if a quorum granted it.
 func (c *Core) handlePreVoteResponse(m Message) {
 	switch {
 	case c.role != PreCandidate:
--- a/raft/failover_test.go
+++ b/raft/failover_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Tests how soon commits resume after the leader fails, in half of the larger groups together
-// with another replica. The groups have 3 to 15 replicas, with syncs of 1 to 30 ms.
+// TestCommitsResumeAfterLeaderLoss checks how soon commits resume after the leader fails, in
+// half of the larger groups together with another replica. The groups have 3 to 15 replicas,
+// with syncs of 1 to 30 ms.
 func TestCommitsResumeAfterLeaderLoss(t *testing.T) {
 	const (
 		groups = 500
@@ -60,8 +61,8 @@
 	return took
 }
 
-// Tests that larger groups recover from the loss of the leader and another voter as fast as
-// small ones. Syncs take 1 to 30 ms.
+// TestElectionTimeIndependentOfGroupSize checks that larger groups recover from the loss of
+// the leader and another voter as fast as small ones. Syncs take 1 to 30 ms.
 func TestElectionTimeIndependentOfGroupSize(t *testing.T) {
 	const (
 		groups, commits = 100, 20
--- a/raft/log.go
+++ b/raft/log.go
@@ -2,34 +2,37 @@
 
 // raftLog holds the snapshot and the entries after it.
 type raftLog struct {
-	snap    Snapshot
-	entries []Entry
-	// stable is the last persisted index, and savingIndex the last index included in the
+	snapshot Snapshot
+	entries  []Entry
+	// stableIndex is the last persisted index, and savingIndex the last index included in the
 	// save in progress.
-	stable, savingIndex uint64
-	commit              uint64
-	// applied is the last index returned for application.
-	applied uint64
+	stableIndex, savingIndex uint64
+	commitIndex              uint64
+	// appliedIndex is the last index returned for application.
+	appliedIndex uint64
 }
 
-func (l *raftLog) first() uint64 { return l.snap.Index + 1 }
+// firstIndex returns the index after the snapshot.
+func (l *raftLog) firstIndex() uint64 { return l.snapshot.Index + 1 }
 
-func (l *raftLog) last() uint64 { return l.snap.Index + uint64(len(l.entries)) }
+// lastIndex returns the index of the last entry, or of the snapshot if there is none.
+func (l *raftLog) lastIndex() uint64 { return l.snapshot.Index + uint64(len(l.entries)) }
 
 // term returns the term of an index; false if the index is compacted or beyond the log.
 func (l *raftLog) term(i uint64) (uint64, bool) {
 	switch {
-	case i == l.snap.Index:
-		return l.snap.Term, true
-	case i < l.snap.Index || i > l.last():
+	case i == l.snapshot.Index:
+		return l.snapshot.Term, true
+	case i < l.snapshot.Index || i > l.lastIndex():
 		return 0, false
 	default:
-		return l.entries[i-l.first()].Term, true
+		return l.entries[i-l.firstIndex()].Term, true
 	}
 }
 
+// lastTerm returns the term at lastIndex.
 func (l *raftLog) lastTerm() uint64 {
-	t, _ := l.term(l.last())
+	t, _ := l.term(l.lastIndex())
 	return t
 }
 
@@ -38,19 +41,19 @@
 	if lo > hi {
 		return nil
 	}
-	return l.entries[lo-l.first() : hi-l.first()+1]
+	return l.entries[lo-l.firstIndex() : hi-l.firstIndex()+1]
 }
 
 // isUpToDate reports whether a log with the given last entry is at least as up to date as l.
 func (l *raftLog) isUpToDate(index, term uint64) bool {
-	return term > l.lastTerm() || term == l.lastTerm() && index >= l.last()
+	return term > l.lastTerm() || term == l.lastTerm() && index >= l.lastIndex()
 }
 
-// merge adds entries from a leader. Entries that match are kept, so that a delayed message
+// mergeEntries adds entries from a leader. Entries that match are kept, so that a delayed message
 // does not truncate newer entries.
-func (l *raftLog) merge(es []Entry) {
+func (l *raftLog) mergeEntries(es []Entry) {
 	for i, e := range es {
-		if e.Index <= l.snap.Index {
+		if e.Index <= l.snapshot.Index {
 			continue
 		}
 		if t, ok := l.term(e.Index); ok && t == e.Term {
@@ -65,11 +68,11 @@
 
 // truncate removes the entries from index on.
 func (l *raftLog) truncate(index uint64) {
-	if index > l.last() {
+	if index > l.lastIndex() {
 		return
 	}
-	l.entries = l.entries[:index-l.first()]
-	l.stable = min(l.stable, index-1)
+	l.entries = l.entries[:index-l.firstIndex()]
+	l.stableIndex = min(l.stableIndex, index-1)
 	l.savingIndex = min(l.savingIndex, index-1)
 }
 
@@ -80,7 +83,7 @@
 			return *l.entries[i].Conf, l.entries[i].Index
 		}
 	}
-	return l.snap.Conf, l.snap.Index
+	return l.snapshot.Conf, l.snapshot.Index
 }
 
 // confAt returns the membership in effect at an index.
@@ -91,21 +94,21 @@
 			return *e.Conf
 		}
 	}
-	return l.snap.Conf
+	return l.snapshot.Conf
 }
 
 // compact replaces the entries up to snap.Index by the snapshot.
 func (l *raftLog) compact(snap Snapshot) {
-	keep := l.slice(snap.Index+1, l.last())
+	keep := l.slice(snap.Index+1, l.lastIndex())
 	l.entries = append([]Entry(nil), keep...)
-	l.snap = snap
+	l.snapshot = snap
 }
 
 // restore replaces the whole log by a snapshot that is not persisted yet.
 func (l *raftLog) restore(snap Snapshot) {
-	l.snap = snap
+	l.snapshot = snap
 	l.entries = nil
-	l.stable, l.savingIndex = 0, 0
-	l.commit = snap.Index
-	l.applied = snap.Index
+	l.stableIndex, l.savingIndex = 0, 0
+	l.commitIndex = snap.Index
+	l.appliedIndex = snap.Index
 }
--- a/raft/raft_test.go
+++ b/raft/raft_test.go
@@ -15,6 +15,7 @@
 	entries []Entry
 }
 
+// save persists the contents of a Ready.
 func (d *simDisk) save(r Ready) {
 	if r.Snapshot != nil {
 		d.snap = *r.Snapshot
@@ -32,7 +33,8 @@
 	}
 }
 
-type replica struct {
+// simReplica is a replica with its disk.
+type simReplica struct {
 	id   string
 	core *Core
 	disk *simDisk
@@ -44,16 +46,16 @@
 // simCluster runs replicas in one process over a network that loses, delays, duplicates and
 // reorders messages. Replicas may crash at every write.
 type simCluster struct {
-	t            *rapid.T
-	rng          *rand.Rand
-	replicas     map[string]*replica
-	ids          []string
-	inFlight     []Message
-	blockedLinks map[string]bool // "a>b" is cut
-	applied      map[uint64]string
-	leaders      map[uint64]string
-	replacements int
-	steps        int
+	t              *rapid.T
+	rng            *rand.Rand
+	replicas       map[string]*simReplica
+	ids            []string
+	inFlight       []Message
+	blockedLinks   map[string]bool // keys are "from>to"
+	appliedByIndex map[uint64]string
+	leaderByTerm   map[uint64]string
+	replacements   int
+	stepCount      int
 	// crashFaults lets replicas crash while they process a message.
 	crashFaults bool
 	// sendBeforeSync makes replicas send messages before they persist: a fault that the
@@ -69,6 +71,7 @@
 // violationFound is the panic value that ends a run after onViolation.
 type violationFound struct{}
 
+// fatalf reports a violation: it calls onViolation if set, or else fails the test.
 func (c *simCluster) fatalf(format string, args ...any) {
 	if c.onViolation != nil {
 		c.onViolation()
@@ -77,10 +80,11 @@
 	c.t.Fatalf(format, args...)
 }
 
+// newSimCluster returns a cluster of n voters.
 func newSimCluster(t *rapid.T, n int, seed uint64) *simCluster {
 	c := &simCluster{
-		t: t, rng: rand.New(rand.NewPCG(seed, 1)), replicas: map[string]*replica{},
-		crashFaults: true, blockedLinks: map[string]bool{}, applied: map[uint64]string{}, leaders: map[uint64]string{},
+		t: t, rng: rand.New(rand.NewPCG(seed, 1)), replicas: map[string]*simReplica{},
+		crashFaults: true, blockedLinks: map[string]bool{}, appliedByIndex: map[uint64]string{}, leaderByTerm: map[uint64]string{},
 	}
 	var conf Conf
 	for i := range n {
@@ -88,19 +92,21 @@
 	}
 	for _, p := range conf.Voters {
 		d := &simDisk{snap: Snapshot{Index: 1, Term: 1, Conf: conf}, state: HardState{Term: 1, Commit: 1}}
-		c.add(p.ID, d)
+		c.addReplica(p.ID, d)
 	}
 	return c
 }
 
-func (c *simCluster) add(id string, d *simDisk) {
-	r := &replica{id: id, disk: d}
+// addReplica starts a replica with the given disk.
+func (c *simCluster) addReplica(id string, d *simDisk) {
+	r := &simReplica{id: id, disk: d}
 	c.replicas[id] = r
 	c.ids = append(c.ids, id)
 	c.restart(r)
 }
 
-func (c *simCluster) restart(r *replica) {
+// restart starts a replica from its disk.
+func (c *simCluster) restart(r *simReplica) {
 	o := Options{ID: r.id, ElectionTicks: 10, HeartbeatTicks: 2, Rand: c.rng, MaxBatchEntries: 4}
 	r.core = New(o, r.disk.state, r.disk.snap, append([]Entry(nil), r.disk.entries...))
 	r.down = false
@@ -109,7 +115,7 @@
 
 // processReady does a replica's pending work. It crashes the replica before the save if
 // crashAt is 1 and after it if crashAt is 2.
-func (c *simCluster) processReady(r *replica, crashAt int) {
+func (c *simCluster) processReady(r *simReplica, crashAt int) {
 	for !r.down {
 		rd := r.core.Ready()
 		if rd.Empty() {
@@ -139,7 +145,8 @@
 	}
 }
 
-func (c *simCluster) applyCommitted(r *replica, rd Ready) {
+// applyCommitted applies the committed entries of a Ready.
+func (c *simCluster) applyCommitted(r *simReplica, rd Ready) {
 	for _, e := range rd.Committed {
 		c.apply(r, e)
 	}
@@ -147,7 +154,7 @@
 }
 
 // finishSave completes the pending save of a replica.
-func (c *simCluster) finishSave(r *replica) {
+func (c *simCluster) finishSave(r *simReplica) {
 	rd := *r.pendingSave
 	r.pendingSave = nil
 	r.disk.save(rd)
@@ -156,35 +163,36 @@
 	c.processReady(r, 0)
 }
 
-func (c *simCluster) crash(r *replica) {
+// crash stops a replica; its disk remains.
+func (c *simCluster) crash(r *simReplica) {
 	r.down = true
 }
 
 // apply checks that all replicas apply the same entry at each index.
-func (c *simCluster) apply(r *replica, e Entry) {
+func (c *simCluster) apply(r *simReplica, e Entry) {
 	cmd := fmt.Sprintf("%d/%d/%s", e.Term, e.Type, e.Data)
-	if old, ok := c.applied[e.Index]; ok && old != cmd {
+	if old, ok := c.appliedByIndex[e.Index]; ok && old != cmd {
 		c.fatalf("index %d: %s applied %q, another replica applied %q", e.Index, r.id, cmd, old)
 	}
-	c.applied[e.Index] = cmd
+	c.appliedByIndex[e.Index] = cmd
 	c.appliedEntries++
 }
 
 // checkLeader checks that each term has at most one leader.
-func (c *simCluster) checkLeader(r *replica) {
+func (c *simCluster) checkLeader(r *simReplica) {
 	if r.core.Role() != Leader {
 		return
 	}
 	term := r.core.Term()
-	if old, ok := c.leaders[term]; ok && old != r.id {
+	if old, ok := c.leaderByTerm[term]; ok && old != r.id {
 		c.fatalf("term %d has two leaders: %s and %s", term, old, r.id)
 	}
-	c.leaders[term] = r.id
+	c.leaderByTerm[term] = r.id
 }
 
 // leader returns the running leader of the highest term, nil if there is none.
-func (c *simCluster) leader() *replica {
-	var best *replica
+func (c *simCluster) leader() *simReplica {
+	var best *simReplica
 	for _, id := range c.ids {
 		r := c.replicas[id]
 		if !r.down && r.core.Role() == Leader && (best == nil || r.core.Term() > best.core.Term()) {
@@ -194,6 +202,7 @@
 	return best
 }
 
+// deliver delivers the in-flight message i, possibly with a crash of the receiver.
 func (c *simCluster) deliver(i int) {
 	m := c.inFlight[i]
 	c.inFlight[i] = c.inFlight[len(c.inFlight)-1]
@@ -212,7 +221,7 @@
 
 // randomStep performs one random action or fault.
 func (c *simCluster) randomStep(t *rapid.T) {
-	c.steps++
+	c.stepCount++
 	id := c.ids[rapid.IntRange(0, len(c.ids)-1).Draw(t, "replica")]
 	r := c.replicas[id]
 	switch rapid.IntRange(0, 15).Draw(t, "action") {
@@ -236,7 +245,7 @@
 		}
 	case 8, 9:
 		if l := c.leader(); l != nil {
-			if _, _, err := l.core.Propose([]byte(fmt.Sprintf("c%d", c.steps))); err == nil {
+			if _, _, err := l.core.Propose([]byte(fmt.Sprintf("c%d", c.stepCount))); err == nil {
 				c.processReady(l, rapid.IntRange(0, 2).Draw(t, "crash"))
 			}
 		}
@@ -268,7 +277,7 @@
 
 // loseDisk replaces a voter by a new replica with an empty disk and adds that as a learner,
 // provided that the remaining live voters keep a quorum.
-func (c *simCluster) loseDisk(t *rapid.T, r *replica) {
+func (c *simCluster) loseDisk(t *rapid.T, r *simReplica) {
 	l := c.leader()
 	if l == nil || l.core.ConfPending() || l == r {
 		return
@@ -288,12 +297,13 @@
 			break
 		}
 	}
-	c.add(next, &simDisk{})
+	c.addReplica(next, &simDisk{})
 	if l.core.ProposeConf(conf.With(Peer{ID: next}, false)) == nil {
 		c.processReady(l, 0)
 	}
 }
 
+// liveVoters counts the voters that are running.
 func (c *simCluster) liveVoters(conf Conf) int {
 	n := 0
 	for _, v := range conf.Voters {
@@ -424,6 +434,7 @@
 	}
 }
 
+// runRandomSteps performs random steps until a check fails, at most 300.
 func runRandomSteps(t *rapid.T, c *simCluster) {
 	runUntilViolation(func() {
 		for range 300 {
--- a/raft/replicate.go
+++ b/raft/replicate.go
@@ -39,7 +39,7 @@
 func (c *Core) rejectStaleLeader(m Message) {
 	switch m.Type {
 	case MsgAppend, MsgHeartbeat, MsgSnapshot:
-		c.sendNow(Message{Type: MsgAppendResp, To: m.From, Term: c.state.Term, Reject: true, Hint: c.log.last()})
+		c.sendNow(Message{Type: MsgAppendResp, To: m.From, Term: c.state.Term, Reject: true, Hint: c.log.lastIndex()})
 	}
 }
 
@@ -60,7 +60,7 @@
 		// followers keeps its quorum and commits with the disks that respond.
 		c.sendNow(Message{
 			Type: MsgHeartbeatResp, To: m.From, Term: c.state.Term, Round: m.Round,
-			Index: c.log.last(), Hint: c.leaderMatch, Saved: min(c.leaderMatch, c.log.stable),
+			Index: c.log.lastIndex(), Hint: c.leaderMatch, Saved: min(c.leaderMatch, c.log.stableIndex),
 		})
 	case MsgSnapshot:
 		c.acceptLeader(m)
@@ -80,29 +80,31 @@
 		c.becomeFollower(m.Term, m.From)
 	}
 	c.electionElapsed = 0
-	c.deferred = false
+	c.electionDeferred = false
 }
 
 // maxUnsavedEntries limits the entries that a replica with a stalled disk buffers. The
 // leader resends what is dropped.
 const maxUnsavedEntries = 1 << 14
 
+// handleAppend appends entries from the leader. It rejects them if the preceding entry does not
+// match.
 func (c *Core) handleAppend(m Message) {
-	if m.Index < c.log.snap.Index {
+	if m.Index < c.log.snapshot.Index {
 		// Entries before the snapshot are committed and therefore match.
-		c.leaderMatch = max(c.leaderMatch, c.log.commit)
-		c.sendAfterSave(Message{Type: MsgAppendResp, To: m.From, Term: c.state.Term, Index: c.log.commit})
+		c.leaderMatch = max(c.leaderMatch, c.log.commitIndex)
+		c.sendAfterSave(Message{Type: MsgAppendResp, To: m.From, Term: c.state.Term, Index: c.log.commitIndex})
 		return
 	}
 	if t, ok := c.log.term(m.Index); !ok || t != m.LogTerm {
-		hint := min(m.Index-1, c.log.last())
+		hint := min(m.Index-1, c.log.lastIndex())
 		c.sendNow(Message{Type: MsgAppendResp, To: m.From, Term: c.state.Term, Index: m.Index, Reject: true, Hint: hint})
 		return
 	}
-	if c.saving && c.log.last()-min(c.log.stable, c.log.last()) >= maxUnsavedEntries && m.Index+uint64(len(m.Entries)) > c.log.last() {
+	if c.saving && c.log.lastIndex()-min(c.log.stableIndex, c.log.lastIndex()) >= maxUnsavedEntries && m.Index+uint64(len(m.Entries)) > c.log.lastIndex() {
 		return
 	}
-	c.log.merge(m.Entries)
+	c.log.mergeEntries(m.Entries)
 	c.refreshConf()
 	last := m.Index + uint64(len(m.Entries))
 	c.leaderMatch = max(c.leaderMatch, last)
@@ -110,14 +112,16 @@
 	c.sendAfterSave(Message{Type: MsgAppendResp, To: m.From, Term: c.state.Term, Index: last})
 }
 
+// commitTo raises the commit index, but not beyond the log.
 func (c *Core) commitTo(index uint64) {
-	index = min(index, c.log.last())
-	c.log.commit = max(c.log.commit, index)
+	index = min(index, c.log.lastIndex())
+	c.log.commitIndex = max(c.log.commitIndex, index)
 }
 
+// handleSnapshot restores a snapshot from the leader unless its entries are present.
 func (c *Core) handleSnapshot(m Message) {
 	s := m.Snapshot
-	if s != nil && s.Index > c.log.commit {
+	if s != nil && s.Index > c.log.commitIndex {
 		if t, ok := c.log.term(s.Index); ok && t == s.Term {
 			// The entries are present; only the commit index advances.
 			c.commitTo(s.Index)
@@ -126,9 +130,9 @@
 			c.restoredSnapshot = s
 			c.refreshConf()
 		}
-		c.leaderMatch = max(c.leaderMatch, c.log.commit)
+		c.leaderMatch = max(c.leaderMatch, c.log.commitIndex)
 	}
-	c.sendAfterSave(Message{Type: MsgAppendResp, To: m.From, Term: c.state.Term, Index: c.log.commit})
+	c.sendAfterSave(Message{Type: MsgAppendResp, To: m.From, Term: c.state.Term, Index: c.log.commitIndex})
 }
 
 // markActive records a message from a replica and returns its progress, nil if this replica
@@ -145,6 +149,7 @@
 	return p
 }
 
+// handleAppendResponse updates the progress of a replica and sends it further entries.
 func (c *Core) handleAppendResponse(m Message) {
 	p := c.markActive(m.From)
 	if p == nil {
@@ -152,14 +157,14 @@
 	}
 	p.snapshotWaitTicks = 0
 	if m.Reject {
-		if m.Index == p.next-1 || m.Hint+1 < p.next {
-			p.next = max(p.match+1, m.Hint+1)
+		if m.Index == p.nextIndex-1 || m.Hint+1 < p.nextIndex {
+			p.nextIndex = max(p.matchIndex+1, m.Hint+1)
 			c.sendAppend(m.From, p)
 		}
 		return
 	}
 	c.recordSaved(p, m.Index)
-	if c.role == Leader && p.next <= c.log.last() {
+	if c.role == Leader && p.nextIndex <= c.log.lastIndex() {
 		c.sendAppend(m.From, p)
 	}
 }
@@ -167,28 +172,29 @@
 // recordSaved records the index up to which a replica has persisted the log, and commits
 // what a quorum has persisted.
 func (c *Core) recordSaved(p *progress, index uint64) {
-	if index <= p.match {
+	if index <= p.matchIndex {
 		return
 	}
-	p.match = index
+	p.matchIndex = index
 	p.unsavedTicks = 0
-	p.next = max(p.next, index+1)
+	p.nextIndex = max(p.nextIndex, index+1)
 	c.advanceCommit()
 	c.requestTakeover()
 }
 
+// handleHeartbeatResponse confirms reads and resends lost entries.
 func (c *Core) handleHeartbeatResponse(m Message) {
 	p := c.markActive(m.From)
 	if p == nil {
 		return
 	}
-	p.ackedRound = max(p.ackedRound, m.Round)
+	p.ackedHeartbeatRound = max(p.ackedHeartbeatRound, m.Round)
 	c.confirmReads()
 	c.recordSaved(p, m.Saved)
 	if c.role != Leader {
 		return
 	}
-	if m.Round >= p.heartbeatRound && p.heartbeatNext > 0 {
+	if m.Round >= p.heartbeatRound && p.heartbeatNextIndex > 0 {
 		c.resendLost(m, p)
 	}
 }
@@ -197,14 +203,14 @@
 // reach the replica: the append or its response was lost, or the replica is new. Entries that
 // the replica holds but has not persisted are not resent.
 func (c *Core) resendLost(m Message, p *progress) {
-	stuck := p.match < c.log.last() && p.match == p.heartbeatMatch && m.Hint+1 < p.heartbeatNext
-	p.heartbeatMatch, p.heartbeatNext = p.match, 0
+	stuck := p.matchIndex < c.log.lastIndex() && p.matchIndex == p.heartbeatMatchIndex && m.Hint+1 < p.heartbeatNextIndex
+	p.heartbeatMatchIndex, p.heartbeatNextIndex = p.matchIndex, 0
 	if !stuck {
 		return
 	}
-	p.next = max(p.match, m.Hint) + 1
-	if p.match == 0 {
-		p.next = min(max(m.Index+1, 1), c.log.last()+1)
+	p.nextIndex = max(p.matchIndex, m.Hint) + 1
+	if p.matchIndex == 0 {
+		p.nextIndex = min(max(m.Index+1, 1), c.log.lastIndex()+1)
 	}
 	c.sendAppend(m.From, p)
 }
@@ -214,19 +220,19 @@
 	var matches []uint64
 	for _, v := range c.conf.Voters {
 		if v.ID == c.options.ID {
-			matches = append(matches, c.log.stable)
+			matches = append(matches, c.log.stableIndex)
 		} else {
-			matches = append(matches, c.peers[v.ID].match)
+			matches = append(matches, c.peers[v.ID].matchIndex)
 		}
 	}
 	slices.Sort(matches)
 	index := matches[len(matches)-c.quorum()]
-	if t, ok := c.log.term(index); !ok || t != c.state.Term || index <= c.log.commit {
+	if t, ok := c.log.term(index); !ok || t != c.state.Term || index <= c.log.commitIndex {
 		return
 	}
-	c.log.commit = index
+	c.log.commitIndex = index
 	c.broadcastCommit()
-	if !c.conf.IsVoter(c.options.ID) && c.confIndex <= c.log.commit {
+	if !c.conf.IsVoter(c.options.ID) && c.confIndex <= c.log.commitIndex {
 		// The committed change removed this replica.
 		c.becomeFollower(c.state.Term, "")
 	}
@@ -237,7 +243,7 @@
 	for len(c.pendingReads) > 0 {
 		n := 0
 		for _, v := range c.conf.Voters {
-			if v.ID == c.options.ID || c.peers[v.ID].ackedRound >= c.pendingReads[0].round {
+			if v.ID == c.options.ID || c.peers[v.ID].ackedHeartbeatRound >= c.pendingReads[0].round {
 				n++
 			}
 		}
@@ -258,45 +264,49 @@
 	}
 }
 
-func (c *Core) broadcast() { c.forEachPeer(c.sendAppend) }
+// broadcastAppend sends new entries to all other replicas.
+func (c *Core) broadcastAppend() { c.forEachPeer(c.sendAppend) }
 
 // broadcastCommit sends the new commit index to all other replicas.
 func (c *Core) broadcastCommit() {
 	c.forEachPeer(func(id string, p *progress) { c.sendHeartbeat(id, p) })
 }
 
+// sendHeartbeats sends a heartbeat to all other replicas.
 func (c *Core) sendHeartbeats() { c.forEachPeer(c.sendHeartbeat) }
 
+// sendHeartbeat sends the commit index and the heartbeat round to a replica.
 func (c *Core) sendHeartbeat(id string, p *progress) {
 	// Index is the last entry known to match on both sides; the receiver must not
 	// advance its commit index beyond it.
-	c.sendAsLeader(Message{Type: MsgHeartbeat, To: id, Commit: c.log.commit, Index: p.match, Round: c.heartbeatRound})
+	c.sendAsLeader(Message{Type: MsgHeartbeat, To: id, Commit: c.log.commitIndex, Index: p.matchIndex, Round: c.heartbeatRound})
 }
 
 // sendAppend sends the next entries, or a snapshot if they are compacted.
 func (c *Core) sendAppend(id string, p *progress) {
-	prev := p.next - 1
+	prev := p.nextIndex - 1
 	term, ok := c.log.term(prev)
 	if !ok {
 		c.sendSnapshot(id, p)
 		return
 	}
-	hi := min(c.log.last(), prev+uint64(c.options.MaxBatchEntries))
-	es := slices.Clone(c.log.slice(p.next, hi))
-	p.next = hi + 1
-	c.sendAsLeader(Message{Type: MsgAppend, To: id, Index: prev, LogTerm: term, Commit: c.log.commit, Entries: es})
+	hi := min(c.log.lastIndex(), prev+uint64(c.options.MaxBatchEntries))
+	es := slices.Clone(c.log.slice(p.nextIndex, hi))
+	p.nextIndex = hi + 1
+	c.sendAsLeader(Message{Type: MsgAppend, To: id, Index: prev, LogTerm: term, Commit: c.log.commitIndex, Entries: es})
 }
 
 // snapshotRetryElections is the number of election timeouts before a snapshot is sent again.
 const snapshotRetryElections = 4
 
+// sendSnapshot sends the snapshot unless one was sent recently.
 func (c *Core) sendSnapshot(id string, p *progress) {
 	if p.snapshotWaitTicks > 0 {
 		return
 	}
 	p.snapshotWaitTicks = snapshotRetryElections * c.options.ElectionTicks
-	snap := c.log.snap
-	p.next = snap.Index + 1
+	snap := c.log.snapshot
+	p.nextIndex = snap.Index + 1
 	c.sendAsLeader(Message{Type: MsgSnapshot, To: id, Snapshot: &snap})
 }
 
@@ -304,11 +314,11 @@
 // acknowledgements are merged, which bounds the queue while the disk stalls.
 func (c *Core) sendAfterSave(m Message) {
 	m.From = c.options.ID
-	if last := len(c.messages) - 1; last >= 0 && canMergeAcks(&c.messages[last], &m) {
-		c.messages[last].Index = max(c.messages[last].Index, m.Index)
+	if last := len(c.messagesAfterSave) - 1; last >= 0 && canMergeAcks(&c.messagesAfterSave[last], &m) {
+		c.messagesAfterSave[last].Index = max(c.messagesAfterSave[last].Index, m.Index)
 		return
 	}
-	c.messages = append(c.messages, m)
+	c.messagesAfterSave = append(c.messagesAfterSave, m)
 }
 
 // canMergeAcks reports whether two messages acknowledge entries to the same leader and term.
--- a/raft/slowdisk_test.go
+++ b/raft/slowdisk_test.go
@@ -10,6 +10,7 @@
 const (
 	// simStep is the step of the virtual clock and the delay of a message.
 	simStep = 5 * time.Millisecond
+	// simTick is the tick interval of the replicas.
 	simTick = 25 * time.Millisecond
 	// simStallTicks is the value of Options.StallTicks.
 	simStallTicks = 80
@@ -37,7 +38,7 @@
 
 // slowGroup simulates replicas with slow disks in virtual time.
 type slowGroup struct {
-	now time.Duration
+	clock time.Duration
 	// defaultSync is the duration of a sync, and syncOverrides those of particular replicas.
 	defaultSync   time.Duration
 	syncOverrides map[string]time.Duration
@@ -49,6 +50,7 @@
 	inFlight []inFlightMessage
 }
 
+// newSlowGroup returns a group of n voters.
 func newSlowGroup(seed uint64, n int) *slowGroup {
 	s := &slowGroup{replicas: map[string]*slowReplica{}}
 	var conf Conf
@@ -64,12 +66,14 @@
 	return s
 }
 
+// isReachable reports whether a replica is connected to the others.
 func (s *slowGroup) isReachable(id string) bool { return id != s.isolated && !s.failed[id] }
 
-func (s *slowGroup) send(ms []Message) {
+// sendMessages puts messages between reachable replicas in flight.
+func (s *slowGroup) sendMessages(ms []Message) {
 	for _, m := range ms {
 		if s.isReachable(m.From) && s.isReachable(m.To) {
-			s.inFlight = append(s.inFlight, inFlightMessage{s.now + simStep, m})
+			s.inFlight = append(s.inFlight, inFlightMessage{s.clock + simStep, m})
 		}
 	}
 }
@@ -89,12 +93,12 @@
 		if rd.Empty() {
 			return
 		}
-		s.send(rd.ImmediateMessages)
+		s.sendMessages(rd.ImmediateMessages)
 		if !rd.MustSave() {
-			s.send(rd.Messages)
+			s.sendMessages(rd.Messages)
 			continue
 		}
-		r.pendingSave, r.saveEnd = &rd, s.now
+		r.pendingSave, r.saveEnd = &rd, s.clock
 		vote := rd.State != nil && (rd.State.Term != r.lastState.Term || rd.State.Vote != r.lastState.Vote)
 		if len(rd.Entries) > 0 || vote || rd.Snapshot != nil {
 			r.saveEnd += s.syncTime(r)
@@ -108,21 +112,22 @@
 
 // finishSave completes the pending save if it is due, and sends the messages that waited for it.
 func (s *slowGroup) finishSave(r *slowReplica) {
-	if r.pendingSave == nil || r.saveEnd > s.now {
+	if r.pendingSave == nil || r.saveEnd > s.clock {
 		return
 	}
 	rd := *r.pendingSave
 	r.pendingSave = nil
 	r.core.Advance(rd)
-	s.send(rd.Messages)
+	s.sendMessages(rd.Messages)
 }
 
-func (s *slowGroup) step() {
-	s.now += simStep
+// advance runs the group for one step of the virtual clock.
+func (s *slowGroup) advance() {
+	s.clock += simStep
 	net := s.inFlight
 	s.inFlight = nil
 	for _, f := range net {
-		if f.arrival > s.now {
+		if f.arrival > s.clock {
 			s.inFlight = append(s.inFlight, f)
 			continue
 		}
@@ -141,7 +146,7 @@
 		r.core.Step(m)
 	}
 	r.inbox = nil
-	if s.now%simTick == r.tickOffset {
+	if s.clock%simTick == r.tickOffset {
 		r.core.Tick()
 	}
 	s.processReady(r)
@@ -168,20 +173,20 @@
 func (s *slowGroup) timeToCommit(limit time.Duration) time.Duration {
 	type command struct{ index, term uint64 }
 	var asked []command
-	from, next := s.now, s.now
-	for s.now < from+limit {
-		s.step()
+	from, next := s.clock, s.clock
+	for s.clock < from+limit {
+		s.advance()
 		l := s.leader()
 		if l == nil {
 			continue
 		}
 		if slices.ContainsFunc(asked, func(c command) bool { return l.hasCommitted(c.index, c.term) }) {
-			return s.now - from
+			return s.clock - from
 		}
-		if s.now < next {
+		if s.clock < next {
 			continue
 		}
-		next = s.now + commandInterval
+		next = s.clock + commandInterval
 		if index, term, err := l.core.Propose([]byte("command")); err == nil {
 			asked = append(asked, command{index, term})
 			s.processReady(l)
@@ -196,8 +201,8 @@
 	return ok && t == term && r.core.Commit() >= index
 }
 
-// Tests elections with syncs that take longer than the candidate's timeout. Votes that arrive
-// after the candidate's next attempt has started must still count.
+// TestElectionWithSlowDisks runs elections with syncs that take longer than the candidate's
+// timeout. Votes that arrive after the candidate's next attempt has started must still count.
 func TestElectionWithSlowDisks(t *testing.T) {
 	const (
 		groups = 200
@@ -225,8 +230,8 @@
 	}
 }
 
-// Tests that a group keeps its leader while all disks stall for up to a second at a time.
-// Heartbeats must not wait for the disk.
+// TestStallingDisksKeepLeader checks that a group keeps its leader while all disks stall for
+// up to a second at a time. Heartbeats must not wait for the disk.
 func TestStallingDisksKeepLeader(t *testing.T) {
 	const (
 		groups       = 20
@@ -242,16 +247,16 @@
 		s.defaultSync = 2 * time.Millisecond
 		s.timeToCommit(span)
 		rng := rand.New(rand.NewPCG(seed, 99))
-		last, next := s.leaderID(), s.now
-		for end := s.now + span; s.now < end; {
+		last, next := s.leaderID(), s.clock
+		for end := s.clock + span; s.clock < end; {
 			s.defaultSync = time.Duration(rng.Int64N(int64(stall)))
-			s.step()
+			s.advance()
 			if id := s.leaderID(); id != "" && id != last {
 				changes++
 				last = id
 			}
-			if l := s.leader(); l != nil && s.now >= next {
-				next = s.now + commandEvery
+			if l := s.leader(); l != nil && s.clock >= next {
+				next = s.clock + commandEvery
 				if _, _, err := l.core.Propose([]byte("command")); err == nil {
 					s.processReady(l)
 				}
--- a/raft/stall_test.go
+++ b/raft/stall_test.go
@@ -27,29 +27,29 @@
 func (s *slowGroup) longestCommitGap(span time.Duration) time.Duration {
 	const commandEvery = 20 * time.Millisecond
 	var longest time.Duration
-	last, commit := s.now, uint64(0)
-	for next, end := s.now, s.now+span; s.now < end; {
-		s.step()
+	last, commit := s.clock, uint64(0)
+	for next, end := s.clock, s.clock+span; s.clock < end; {
+		s.advance()
 		l := s.leader()
 		if l == nil {
 			continue
 		}
 		if l.core.Commit() > commit {
-			longest = max(longest, s.now-last)
-			last, commit = s.now, l.core.Commit()
+			longest = max(longest, s.clock-last)
+			last, commit = s.clock, l.core.Commit()
 		}
-		if s.now >= next {
-			next = s.now + commandEvery
+		if s.clock >= next {
+			next = s.clock + commandEvery
 			if _, _, err := l.core.Propose([]byte("command")); err == nil {
 				s.processReady(l)
 			}
 		}
 	}
-	return max(longest, s.now-last)
+	return max(longest, s.clock-last)
 }
 
-// Tests that a leader whose disk stalls transfers leadership to another voter while the group
-// keeps committing.
+// TestStalledLeaderTransfersLeadership checks that a leader whose disk stalls transfers
+// leadership to another voter while the group keeps committing.
 func TestStalledLeaderTransfersLeadership(t *testing.T) {
 	const (
 		groups = 50
@@ -73,8 +73,9 @@
 	}
 }
 
-// Tests that a group keeps its leader and its term while the disks of a quorum stall, as no
-// other leader could commit, and that it commits once the disks respond again.
+// TestStalledQuorumKeepsLeaderAndTerm checks that a group keeps its leader and its term while
+// the disks of a quorum stall, as no other leader could commit, and that it commits once the
+// disks respond again.
 func TestStalledQuorumKeepsLeaderAndTerm(t *testing.T) {
 	const (
 		groups = 50
@@ -103,7 +104,7 @@
 		for _, id := range stalled[:3] {
 			delete(s.syncOverrides, id)
 			if r := s.replicas[id]; r.pendingSave != nil {
-				r.saveEnd = s.now
+				r.saveEnd = s.clock
 			}
 		}
 		if took := s.timeToCommit(time.Minute); took > maxRecovery {
@@ -112,6 +113,7 @@
 	}
 }
 
+// highestTerm returns the highest term of any replica.
 func (s *slowGroup) highestTerm() uint64 {
 	var term uint64
 	for _, r := range s.replicas {
@@ -120,8 +122,9 @@
 	return term
 }
 
-// Tests that entries held by a follower with a stalled disk are not resent at each heartbeat,
-// and that the leader learns what was persisted even if the append responses are lost.
+// TestStalledFollowerReceivesNoDuplicateEntries checks that entries held by a follower with a
+// stalled disk are not resent at each heartbeat, and that the leader learns what was persisted
+// even if the append responses are lost.
 func TestStalledFollowerReceivesNoDuplicateEntries(t *testing.T) {
 	s := newSlowGroup(1, 3)
 	electStableLeader(t, s)
@@ -134,9 +137,9 @@
 	s.longestCommitGap(time.Second)
 	sent := map[uint64]int{}
 	for range 400 {
-		s.step()
+		s.advance()
 		for _, f := range s.inFlight {
-			if f.msg.To == follower && f.msg.Type == MsgAppend && f.arrival == s.now+simStep {
+			if f.msg.To == follower && f.msg.Type == MsgAppend && f.arrival == s.clock+simStep {
 				for _, e := range f.msg.Entries {
 					sent[e.Index]++
 				}
@@ -153,14 +156,14 @@
 	}
 	delete(s.syncOverrides, follower)
 	r := s.replicas[follower]
-	r.saveEnd = s.now
-	last := l.core.log.last()
+	r.saveEnd = s.clock
+	last := l.core.log.lastIndex()
 	for range 200 {
 		// Drop all append responses.
 		s.inFlight = slices.DeleteFunc(s.inFlight, func(f inFlightMessage) bool { return f.msg.Type == MsgAppendResp })
-		s.step()
+		s.advance()
 	}
-	if got := l.core.peers[follower].match; got < last {
+	if got := l.core.peers[follower].matchIndex; got < last {
 		t.Fatalf("the leader knows of persisted entry %d, expected %d", got, last)
 	}
 }
@@ -200,15 +203,15 @@
 	if l == nil {
 		return
 	}
-	c.steps++
-	if _, _, err := l.core.Propose(fmt.Append(nil, "c", c.steps)); err == nil {
+	c.stepCount++
+	if _, _, err := l.core.Propose(fmt.Append(nil, "c", c.stepCount)); err == nil {
 		c.processReady(l, 0)
 	}
 }
 
 // finishOrCrashSave completes a pending save or crashes its replica.
 func (c *simCluster) finishOrCrashSave() {
-	var saving []*replica
+	var saving []*simReplica
 	for _, id := range c.ids {
 		if r := c.replicas[id]; r.pendingSave != nil && !r.down {
 			saving = append(saving, r)
@@ -300,8 +303,8 @@
 	}
 }
 
-// Tests that a follower whose disk never responds buffers a bounded number of entries and
-// messages.
+// TestStalledFollowerBuffersBoundedEntries checks that a follower whose disk never responds
+// buffers a bounded number of entries and messages.
 func TestStalledFollowerBuffersBoundedEntries(t *testing.T) {
 	conf := Conf{Voters: []Peer{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 	o := Options{ID: "c", ElectionTicks: 10, HeartbeatTicks: 2, MaxBatchEntries: 4, Rand: rand.New(rand.NewPCG(1, 1))}
@@ -313,7 +316,7 @@
 		c.Ready()
 		term = 2
 	}
-	if n := len(c.messages); n > 1 {
+	if n := len(c.messagesAfterSave); n > 1 {
 		t.Errorf("%d messages are queued for the disk", n)
 	}
 	if n := c.LogLen(); n > maxUnsavedEntries+1 {
--- a/raft/transfer.go
+++ b/raft/transfer.go
@@ -22,15 +22,15 @@
 // has persisted more than this leader: if a quorum of disks stalls, no other leader could
 // commit either.
 func (c *Core) selectTransferee() string {
-	best, match, eligible := "", c.log.stable, 0
+	best, match, eligible := "", c.log.stableIndex, 0
 	for _, v := range c.conf.Voters {
 		p := c.peers[v.ID]
-		if v.ID == c.options.ID || p.match <= c.log.stable || p.silentTicks >= c.options.ElectionTicks {
+		if v.ID == c.options.ID || p.matchIndex <= c.log.stableIndex || p.silentTicks >= c.options.ElectionTicks {
 			continue
 		}
 		eligible++
-		if p.match > match {
-			best, match = v.ID, p.match
+		if p.matchIndex > match {
+			best, match = v.ID, p.matchIndex
 		}
 	}
 	if eligible < c.quorum() {
@@ -44,7 +44,7 @@
 	if c.role != Leader || c.transferee == "" {
 		return
 	}
-	if p := c.peers[c.transferee]; p != nil && p.match == c.log.last() {
+	if p := c.peers[c.transferee]; p != nil && p.matchIndex == c.log.lastIndex() {
 		c.sendAsLeader(Message{Type: MsgTimeoutNow, To: c.transferee})
 	}
 }
--- a/raft/types.go
+++ b/raft/types.go
@@ -159,6 +159,7 @@
 	Leader
 )
 
+// roleNames holds the names of the roles, indexed by Role.
 var roleNames = [...]string{"follower", "pre-candidate", "candidate", "leader"}
 
 // String returns the name of the role.
