--- a/repair/availability_test.go
+++ b/repair/availability_test.go
@@ -13,17 +13,19 @@
 // The simulation runs real raft cores and the real repair decisions in virtual time, with a
 // sequence of replica failures. The group must keep committing during each of them.
 const (
+	// simTick is the tick interval of the replicas.
 	simTick = 25 * time.Millisecond
-	// simGossip is the delay until the leader learns of a new replica.
-	simGossip = 800 * time.Millisecond
-	// simRestart is the restart time of a process.
-	simRestart = 500 * time.Millisecond
-	// simCatchUp is the minimum time between the end of a failure and the next one.
-	simCatchUp = 4 * time.Second
-	// simElect is the maximum time without commits after the loss of the leader.
-	simElect = 3 * time.Second
-	// simSettled and simUnsettled are the intervals between repair checks.
-	simSettled, simUnsettled = 500 * time.Millisecond, 100 * time.Millisecond
+	// simDiscoveryDelay is the delay until the leader learns of a new replica.
+	simDiscoveryDelay = 800 * time.Millisecond
+	// simRestartTime is the restart time of a process.
+	simRestartTime = 500 * time.Millisecond
+	// simFailureInterval is the minimum time between the end of a failure and the next one.
+	simFailureInterval = 4 * time.Second
+	// simMaxElectionTime is the maximum time without commits after the loss of the leader.
+	simMaxElectionTime = 3 * time.Second
+	// simSettledInterval and simUnsettledInterval are the intervals between repair checks
+	// of a settled and of any other group.
+	simSettledInterval, simUnsettledInterval = 500 * time.Millisecond, 100 * time.Millisecond
 )
 
 // simReplica is a replica and its disk.
@@ -40,17 +42,17 @@
 	inbox                     []raft.Message
 }
 
-// simFleet simulates the replicas of a group and their network.
-type simFleet struct {
+// simGroup simulates the replicas of a group and their network.
+type simGroup struct {
 	t        *testing.T
 	rng      *rand.Rand
-	now      time.Duration
+	clock    time.Duration
 	replicas []*simReplica
 	inFlight []raft.Message
-	// acked holds the acknowledged entries by index, and pending the terms of proposed
-	// commands.
+	// acked holds the acknowledged entries, and proposedTerms the terms of proposed
+	// commands, both by index.
 	acked           map[uint64]string
-	pending         map[uint64]uint64
+	proposedTerms   map[uint64]uint64
 	lastAck         time.Duration
 	ticksWithLeader int
 	replacements    int
@@ -59,8 +61,9 @@
 	removedVoters   int
 }
 
-func newSimFleet(t *testing.T, seed uint64, domains int, o Options) *simFleet {
-	f := &simFleet{t: t, rng: rand.New(rand.NewPCG(seed, 7)), acked: map[uint64]string{}, pending: map[uint64]uint64{}, options: o}
+// newSimGroup returns replicas in separate failure domains, the first of them voters.
+func newSimGroup(t *testing.T, seed uint64, domains int, o Options) *simGroup {
+	f := &simGroup{t: t, rng: rand.New(rand.NewPCG(seed, 7)), acked: map[uint64]string{}, proposedTerms: map[uint64]uint64{}, options: o}
 	var conf raft.Conf
 	for i := range domains {
 		p := raft.Peer{ID: fmt.Sprintf("r%d", i), Addr: fmt.Sprintf("a%d", i), Domain: fmt.Sprintf("d%d", i)}
@@ -79,12 +82,14 @@
 	return f
 }
 
-func (f *simFleet) start(r *simReplica) {
+// start starts a replica from its disk.
+func (f *simGroup) start(r *simReplica) {
 	r.running = true
 	r.core = raft.New(raft.Options{ID: r.ID, ElectionTicks: 20, HeartbeatTicks: 3, MaxBatchEntries: 256, Rand: f.rng}, r.state, r.snap, slices.Clone(r.entries))
 }
 
-func (f *simFleet) processReady(r *simReplica) {
+// processReady does the pending work of a replica.
+func (f *simGroup) processReady(r *simReplica) {
 	for {
 		rd := r.core.Ready()
 		if rd.Empty() {
@@ -118,23 +123,24 @@
 
 // apply checks that replicas apply the same entries. It acknowledges an entry that is applied in
 // the term of its proposal.
-func (f *simFleet) apply(r *simReplica, e raft.Entry) {
+func (f *simGroup) apply(r *simReplica, e raft.Entry) {
 	text := fmt.Sprintf("%d/%d/%s", e.Term, e.Type, e.Data)
 	if old, ok := f.acked[e.Index]; ok && old != text {
-		f.t.Fatalf("%v: index %d: %s applies %q, acknowledged %q", f.now, e.Index, r.ID, text, old)
+		f.t.Fatalf("%v: index %d: %s applies %q, acknowledged %q", f.clock, e.Index, r.ID, text, old)
 	}
-	if f.pending[e.Index] == e.Term {
+	if f.proposedTerms[e.Index] == e.Term {
 		f.acked[e.Index] = text
-		f.lastAck = f.now
-		delete(f.pending, e.Index)
+		f.lastAck = f.clock
+		delete(f.proposedTerms, e.Index)
 	}
 }
 
-func (f *simFleet) isReachable(r *simReplica) bool { return r.running && !r.frozen && !r.isolated }
+// isReachable reports whether a replica runs and is connected to the others.
+func (f *simGroup) isReachable(r *simReplica) bool { return r.running && !r.frozen && !r.isolated }
 
 // step advances the simulation by one tick.
-func (f *simFleet) step() {
-	f.now += simTick
+func (f *simGroup) advance() {
+	f.clock += simTick
 	msgs := f.inFlight
 	f.inFlight = nil
 	for _, m := range msgs {
@@ -150,8 +156,8 @@
 	if l == nil {
 		return
 	}
-	f.propose(l)
-	if f.now >= f.nextRepair {
+	f.proposeCommand(l)
+	if f.clock >= f.nextRepair {
 		f.runRepair(l)
 	}
 	f.processReady(l)
@@ -160,18 +166,20 @@
 // commandEveryTicks is the number of ticks between two commands.
 const commandEveryTicks = 8
 
-func (f *simFleet) propose(l *simReplica) {
+// proposeCommand makes the leader propose a command every commandEveryTicks.
+func (f *simGroup) proposeCommand(l *simReplica) {
 	f.ticksWithLeader++
 	if f.ticksWithLeader%commandEveryTicks != 0 {
 		return
 	}
 	if i, term, err := l.core.Propose([]byte(fmt.Sprint(f.ticksWithLeader))); err == nil {
-		f.pending[i] = term
+		f.proposedTerms[i] = term
 	}
 }
 
-func (f *simFleet) deliver(m raft.Message) {
-	from, to := f.byID(m.From), f.byID(m.To)
+// deliver passes a message to its receiver unless one of the two is disconnected.
+func (f *simGroup) deliver(m raft.Message) {
+	from, to := f.replicaByID(m.From), f.replicaByID(m.To)
 	if from == nil || to == nil || !to.running || from.isolated || to.isolated {
 		return
 	}
@@ -183,7 +191,8 @@
 	f.processReady(to)
 }
 
-func (f *simFleet) byID(id string) *simReplica {
+// replicaByID returns the replica with the given ID, nil if there is none.
+func (f *simGroup) replicaByID(id string) *simReplica {
 	for _, r := range f.replicas {
 		if r.ID == id {
 			return r
@@ -193,7 +202,7 @@
 }
 
 // leader returns the reachable leader of the highest term.
-func (f *simFleet) leader() *simReplica {
+func (f *simGroup) leader() *simReplica {
 	var best *simReplica
 	for _, r := range f.replicas {
 		if f.isReachable(r) && r.core.Role() == raft.Leader && (best == nil || r.core.Term() > best.core.Term()) {
@@ -204,7 +213,7 @@
 }
 
 // runRepair makes the leader's periodic repair decision.
-func (f *simFleet) runRepair(l *simReplica) {
+func (f *simGroup) runRepair(l *simReplica) {
 	g := GroupStatus{Conf: l.core.Conf(), LeaderID: l.ID, Health: map[string]Health{}}
 	for _, p := range slices.Concat(g.Conf.Voters, g.Conf.Learners) {
 		if ticks, lag, ok := l.core.PeerStatus(p.ID); ok {
@@ -212,13 +221,13 @@
 		}
 	}
 	for _, r := range f.replicas {
-		if f.isReachable(r) && f.now >= r.discoveredAt {
+		if f.isReachable(r) && f.clock >= r.discoveredAt {
 			g.Candidates = append(g.Candidates, r.Peer)
 		}
 	}
-	f.nextRepair = f.now + simSettled
+	f.nextRepair = f.clock + simSettledInterval
 	if !Settled(g, f.options) {
-		f.nextRepair = f.now + simUnsettled
+		f.nextRepair = f.clock + simUnsettledInterval
 	}
 	if p, ok := NextChange(g, f.options); ok && l.core.ProposeConf(p.Conf) == nil {
 		if len(p.Conf.Voters) < len(g.Conf.Voters) {
@@ -228,7 +237,7 @@
 }
 
 // toleratesFailure reports whether the group can commit after any one more failure.
-func (f *simFleet) toleratesFailure() bool {
+func (f *simGroup) toleratesFailure() bool {
 	l := f.leader()
 	if l == nil || l.core.ConfPending() {
 		return false
@@ -236,7 +245,7 @@
 	conf := l.core.Conf()
 	sound := 0
 	for _, v := range conf.Voters {
-		r := f.byID(v.ID)
+		r := f.replicaByID(v.ID)
 		if r == nil || !f.isReachable(r) {
 			continue
 		}
@@ -247,25 +256,27 @@
 	return sound-1 >= len(conf.Voters)/2+1
 }
 
-func (f *simFleet) run(d time.Duration) {
-	for end := f.now + d; f.now < end; {
-		f.step()
+// runFor runs the simulation for d.
+func (f *simGroup) runFor(d time.Duration) {
+	for end := f.clock + d; f.clock < end; {
+		f.advance()
 	}
 }
 
 // waitUntil runs the simulation until done returns true, and fails the test after the limit.
-func (f *simFleet) waitUntil(what string, bound time.Duration, done func() bool) time.Duration {
-	from := f.now
+func (f *simGroup) waitUntil(what string, bound time.Duration, done func() bool) time.Duration {
+	from := f.clock
 	for !done() {
-		if f.now-from > bound {
-			f.t.Fatalf("%v: condition not met within %v: %s; %s", f.now, bound, what, f.describe())
+		if f.clock-from > bound {
+			f.t.Fatalf("%v: condition not met within %v: %s; %s", f.clock, bound, what, f.describe())
 		}
-		f.step()
+		f.advance()
 	}
-	return f.now - from
+	return f.clock - from
 }
 
-func (f *simFleet) describe() string {
+// describe returns the state of the group for failure messages.
+func (f *simGroup) describe() string {
 	l := f.leader()
 	if l == nil {
 		return "no leader"
@@ -273,50 +284,52 @@
 	return fmt.Sprintf("%s leads %v in term %d, pending %v", l.ID, l.core.Conf(), l.core.Term(), l.core.ConfPending())
 }
 
-func (f *simFleet) addReplica(addr, domain string, after time.Duration) *simReplica {
+// addReplica starts a new replica that the leader discovers after the given delay.
+func (f *simGroup) addReplica(addr, domain string, after time.Duration) *simReplica {
 	f.replacements++
 	r := &simReplica{
 		Peer:         raft.Peer{ID: fmt.Sprintf("n%d", f.replacements), Addr: addr, Domain: domain},
-		discoveredAt: f.now + after,
+		discoveredAt: f.clock + after,
 	}
 	f.replicas = append(f.replicas, r)
 	f.start(r)
 	return r
 }
 
-func (f *simFleet) removeReplica(r *simReplica) {
+// removeReplica removes a replica and its disk.
+func (f *simGroup) removeReplica(r *simReplica) {
 	f.replicas = slices.DeleteFunc(f.replicas, func(x *simReplica) bool { return x == r })
 }
 
 // simFailures holds the kinds of failures. Each returns once the replica or its successor runs.
-var simFailures = map[string]func(f *simFleet, r *simReplica, lasts time.Duration){
-	"replaced": func(f *simFleet, r *simReplica, lasts time.Duration) {
+var simFailures = map[string]func(f *simGroup, r *simReplica, lasts time.Duration){
+	"replaced": func(f *simGroup, r *simReplica, lasts time.Duration) {
 		f.removeReplica(r)
-		f.run(min(lasts, 2*time.Second))
-		f.addReplica(r.Addr+"'", r.Domain, simGossip)
+		f.runFor(min(lasts, 2*time.Second))
+		f.addReplica(r.Addr+"'", r.Domain, simDiscoveryDelay)
 	},
-	"wiped": func(f *simFleet, r *simReplica, lasts time.Duration) {
+	"wiped": func(f *simGroup, r *simReplica, lasts time.Duration) {
 		f.removeReplica(r)
-		f.run(simRestart + min(lasts, 3*time.Second))
-		f.addReplica(r.Addr, r.Domain, simGossip)
+		f.runFor(simRestartTime + min(lasts, 3*time.Second))
+		f.addReplica(r.Addr, r.Domain, simDiscoveryDelay)
 	},
-	"killed": func(f *simFleet, r *simReplica, lasts time.Duration) {
+	"killed": func(f *simGroup, r *simReplica, lasts time.Duration) {
 		r.running = false
-		f.run(simRestart + lasts)
+		f.runFor(simRestartTime + lasts)
 		f.start(r)
 	},
-	"frozen": func(f *simFleet, r *simReplica, lasts time.Duration) {
+	"frozen": func(f *simGroup, r *simReplica, lasts time.Duration) {
 		r.frozen = true
-		f.run(lasts)
+		f.runFor(lasts)
 		r.frozen = false
 		for _, m := range r.inbox {
 			r.core.Step(m)
 		}
 		r.inbox = nil
 	},
-	"cut": func(f *simFleet, r *simReplica, lasts time.Duration) {
+	"cut": func(f *simGroup, r *simReplica, lasts time.Duration) {
 		r.isolated = true
-		f.run(lasts)
+		f.runFor(lasts)
 		r.isolated = false
 	},
 }
@@ -327,14 +340,14 @@
 // runFailures simulates a sequence of failures and returns the repair times, measured from when
 // the replica or its successor runs.
 func runFailures(t *testing.T, seed uint64, domains, losses int) []time.Duration {
-	f := newSimFleet(t, seed, domains, repairOptions)
-	f.waitUntil("a first leader", simElect, func() bool { return f.lastAck > 0 })
+	f := newSimGroup(t, seed, domains, repairOptions)
+	f.waitUntil("a first leader", simMaxElectionTime, func() bool { return f.lastAck > 0 })
 	kinds := []string{"cut", "frozen", "killed", "replaced", "wiped"}
 	var times []time.Duration
 	for range losses {
-		f.run(time.Duration(f.rng.Int64N(int64(4 * time.Second))))
+		f.runFor(time.Duration(f.rng.Int64N(int64(4 * time.Second))))
 		if !f.toleratesFailure() {
-			t.Fatalf("seed %d at %v: the group does not tolerate another failure", seed, f.now)
+			t.Fatalf("seed %d at %v: the group does not tolerate another failure", seed, f.clock)
 		}
 		victim := f.replicas[f.rng.IntN(len(f.replicas))]
 		if l := f.leader(); f.rng.IntN(3) == 0 {
@@ -344,27 +357,27 @@
 		acked := f.lastAck
 		lasts := time.Duration(f.rng.Int64N(int64(8 * time.Second)))
 		simFailures[kind](f, victim, lasts)
-		if gap := f.now - acked; gap > simElect && f.lastAck <= acked {
-			t.Fatalf("seed %d at %v: nothing committed for %v while %s was %s", seed, f.now, gap, victim.ID, kind)
+		if gap := f.clock - acked; gap > simMaxElectionTime && f.lastAck <= acked {
+			t.Fatalf("seed %d at %v: nothing committed for %v while %s was %s", seed, f.clock, gap, victim.ID, kind)
 		}
-		from := f.now
-		took := f.waitUntil(fmt.Sprintf("seed %d: tolerance of another failure after %s was %s", seed, victim.ID, kind), simCatchUp, f.toleratesFailure)
+		from := f.clock
+		took := f.waitUntil(fmt.Sprintf("seed %d: tolerance of another failure after %s was %s", seed, victim.ID, kind), simFailureInterval, f.toleratesFailure)
 		times = append(times, took)
-		f.run(max(0, from+simCatchUp-f.now))
+		f.runFor(max(0, from+simFailureInterval-f.clock))
 	}
 	f.checkAcked(seed)
 	return times
 }
 
 // checkAcked checks that each voter has applied all acknowledged entries; apply compares them.
-func (f *simFleet) checkAcked(seed uint64) {
+func (f *simGroup) checkAcked(seed uint64) {
 	last := uint64(0)
 	for i := range f.acked {
 		last = max(last, i)
 	}
-	f.run(time.Second)
+	f.runFor(time.Second)
 	for _, v := range f.leader().core.Conf().Voters {
-		if r := f.byID(v.ID); r == nil || r.core.Applied() < last {
+		if r := f.replicaByID(v.ID); r == nil || r.core.Applied() < last {
 			f.t.Fatalf("seed %d: %s lacks acknowledged entries up to %d", seed, v.ID, last)
 		}
 	}
@@ -391,12 +404,12 @@
 // voters, even if a spare replica is available.
 func TestShortSilenceRemovesNoVoter(t *testing.T) {
 	for seed := range uint64(20) {
-		f := newSimFleet(t, seed, 4, repairOptions)
-		f.waitUntil("a first leader", simElect, func() bool { return f.lastAck > 0 })
-		f.run(time.Second)
+		f := newSimGroup(t, seed, 4, repairOptions)
+		f.waitUntil("a first leader", simMaxElectionTime, func() bool { return f.lastAck > 0 })
+		f.runFor(time.Second)
 		for _, kind := range []string{"killed", "cut", "frozen"} {
 			simFailures[kind](f, f.replicas[f.rng.IntN(3)], 800*time.Millisecond)
-			f.run(simCatchUp)
+			f.runFor(simFailureInterval)
 		}
 		if f.removedVoters > 0 {
 			t.Fatalf("seed %d: %d voters were removed", seed, f.removedVoters)
--- a/repair/repair_test.go
+++ b/repair/repair_test.go
@@ -9,7 +9,10 @@
 	"github.com/umberthread/umberthread/raft"
 )
 
-func peer(id, domain string) raft.Peer { return raft.Peer{ID: id, Addr: "at-" + id, Domain: domain} }
+// testPeer returns a peer with an address derived from its ID.
+func testPeer(id, domain string) raft.Peer {
+	return raft.Peer{ID: id, Addr: "at-" + id, Domain: domain}
+}
 
 var testOptions = Options{TargetVoters: 3, SuspectAfter: 10 * time.Second, ReplaceAfter: time.Minute, MaxLag: 16}
 
@@ -19,9 +22,9 @@
 	g := gomega.NewWithT(t)
 	fresh := raft.Peer{ID: "c2", Addr: "at-c", Domain: "z"}
 	group := GroupStatus{
-		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, LeaderID: "a",
+		Conf: raft.Conf{Voters: []raft.Peer{testPeer("a", "x"), testPeer("b", "y"), testPeer("c", "z")}}, LeaderID: "a",
 		Health:     map[string]Health{"b": {}, "c": {SilentFor: time.Second}},
-		Candidates: []raft.Peer{peer("a", "x"), peer("b", "y"), fresh},
+		Candidates: []raft.Peer{testPeer("a", "x"), testPeer("b", "y"), fresh},
 	}
 	p, ok := NextChange(group, testOptions)
 	g.Expect(ok).To(gomega.BeTrue())
@@ -48,23 +51,27 @@
 	g.Expect(ok).To(gomega.BeFalse())
 }
 
+// TestReplacementComesFromLeastUsedDomain checks that a silent voter is replaced from the
+// failure domain with the fewest voters.
 func TestReplacementComesFromLeastUsedDomain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	group := GroupStatus{
-		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, LeaderID: "a",
+		Conf: raft.Conf{Voters: []raft.Peer{testPeer("a", "x"), testPeer("b", "y"), testPeer("c", "z")}}, LeaderID: "a",
 		Health:     map[string]Health{"b": {}, "c": {SilentFor: 2 * time.Minute}},
-		Candidates: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("d", "x"), peer("e", "w")},
+		Candidates: []raft.Peer{testPeer("a", "x"), testPeer("b", "y"), testPeer("d", "x"), testPeer("e", "w")},
 	}
 	p, _ := NextChange(group, testOptions)
 	g.Expect(p.Conf.IsLearner("e")).To(gomega.BeTrue())
 }
 
+// TestNoChangeWithoutReplacement checks that a silent voter keeps its place while there is no
+// replacement.
 func TestNoChangeWithoutReplacement(t *testing.T) {
 	g := gomega.NewWithT(t)
 	_, ok := NextChange(GroupStatus{
-		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, LeaderID: "a",
+		Conf: raft.Conf{Voters: []raft.Peer{testPeer("a", "x"), testPeer("b", "y"), testPeer("c", "z")}}, LeaderID: "a",
 		Health:     map[string]Health{"b": {}, "c": {SilentFor: time.Hour}},
-		Candidates: []raft.Peer{peer("a", "x"), peer("b", "y")},
+		Candidates: []raft.Peer{testPeer("a", "x"), testPeer("b", "y")},
 	}, testOptions)
 	g.Expect(ok).To(gomega.BeFalse(), "removing a voter without a replacement only reduces fault tolerance")
 }
@@ -75,17 +82,17 @@
 	g := gomega.NewWithT(t)
 	other := raft.Peer{ID: "b", Addr: "at-b-too", Domain: "y"}
 	group := GroupStatus{
-		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, LeaderID: "a",
+		Conf: raft.Conf{Voters: []raft.Peer{testPeer("a", "x"), testPeer("b", "y"), testPeer("c", "z")}}, LeaderID: "a",
 		Health:     map[string]Health{"b": {}, "c": {SilentFor: 2 * time.Minute}},
-		Candidates: []raft.Peer{other, peer("b", "y"), peer("d", "z")},
+		Candidates: []raft.Peer{other, testPeer("b", "y"), testPeer("d", "z")},
 	}
 	p, ok := NextChange(group, testOptions)
 	g.Expect(ok).To(gomega.BeTrue())
-	g.Expect(p.Conf.Voters).To(gomega.ContainElement(peer("b", "y")))
+	g.Expect(p.Conf.Voters).To(gomega.ContainElement(testPeer("b", "y")))
 	g.Expect(p.Conf.IsLearner("d")).To(gomega.BeTrue(), p.Reason)
 
 	// It has moved once it no longer responds at its previous address.
-	group.Candidates = []raft.Peer{other, peer("d", "z")}
+	group.Candidates = []raft.Peer{other, testPeer("d", "z")}
 	p, ok = NextChange(group, testOptions)
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(p.Conf.Voters).To(gomega.ContainElement(other))
