--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -27,8 +27,9 @@
 	snapshotFileName = "snapshot"
 	syncedFileName   = "synced"
 	headerBytes      = 8
-	maxRecordBytes   = 64 << 20
-	syncedFileBytes  = 24
+	// maxRecordBytes limits the payload of a record.
+	maxRecordBytes  = 64 << 20
+	syncedFileBytes = 24
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -54,10 +55,12 @@
 	dir        string
 	logFile    *os.File
 	syncedFile *os.File
-	logSize    int64
-	baseIndex  uint64
-	buf        []byte
-	contents   Contents
+	// logSize is the size of the log, and baseIndex the snapshot index that it continues.
+	logSize   int64
+	baseIndex uint64
+	buf       []byte
+	// contents is what Open returned, with State and Snapshot updated by each save.
+	contents Contents
 	// syncedVote is the last synced term and vote.
 	syncedVote termVote
 	// beforeSync, if not nil, is called before each sync.
@@ -70,6 +73,7 @@
 	id   string
 }
 
+// termVoteOf returns the term and vote of a state.
 func termVoteOf(s raft.HardState) termVote { return termVote{s.Term, s.Vote} }
 
 // Open opens or creates the directory and returns its contents.
@@ -115,8 +119,10 @@
 	return syncDir(w.dir)
 }
 
+// path returns the path of a file in the directory.
 func (w *WAL) path(name string) string { return filepath.Join(w.dir, name) }
 
+// loadSnapshot reads the snapshot file, if there is one.
 func (w *WAL) loadSnapshot() error {
 	data, err := os.ReadFile(w.path(snapshotFileName))
 	if errors.Is(err, os.ErrNotExist) {
@@ -233,6 +239,7 @@
 // stalled disk. It must be called before the WAL is used.
 func (w *WAL) SetBeforeSync(hold func()) { w.beforeSync = hold }
 
+// callBeforeSync calls the function set by SetBeforeSync, if any.
 func (w *WAL) callBeforeSync() {
 	if w.beforeSync != nil {
 		w.beforeSync()
@@ -261,6 +268,8 @@
 // synced, no sync is needed: the commit index is learned again from the leader.
 func isStateOnly(r *raft.Ready) bool { return len(r.Entries) == 0 && r.State != nil }
 
+// appendRecord appends a record to the log and syncs it, unless it is stateOnly and its term
+// and vote are already synced.
 func (w *WAL) appendRecord(rec record, stateOnly bool) error {
 	payload, err := msgpack.Marshal(&rec)
 	if err != nil {
@@ -306,6 +315,7 @@
 	return w.reopen(snap, st, int64(len(log)))
 }
 
+// reopen switches to a replaced log of the given size.
 func (w *WAL) reopen(snap raft.Snapshot, st raft.HardState, size int64) error {
 	_ = w.logFile.Close()
 	f, err := os.OpenFile(w.path(logFileName), os.O_RDWR, 0o644)
@@ -359,6 +369,7 @@
 	return syncDir(dir)
 }
 
+// syncDir syncs a directory, which persists renames in it.
 func syncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -11,6 +11,7 @@
 	"github.com/umberthread/umberthread/raft"
 )
 
+// testEntries returns entries with the indexes from to to.
 func testEntries(from, to, term uint64) []raft.Entry {
 	var es []raft.Entry
 	for i := from; i <= to; i++ {
@@ -19,6 +20,7 @@
 	return es
 }
 
+// writeTestLog writes a log with the entries 2 to 9 and returns its directory.
 func writeTestLog(t *testing.T) string {
 	g := gomega.NewWithT(t)
 	dir := t.TempDir()
@@ -40,6 +42,8 @@
 	g.Expect(got.State.Commit).To(gomega.Equal(uint64(9)))
 }
 
+// TestUnsyncedTailIsDropped checks that an incomplete record beyond the synced size does not
+// prevent Open.
 func TestUnsyncedTailIsDropped(t *testing.T) {
 	g := gomega.NewWithT(t)
 	dir := writeTestLog(t)
@@ -53,6 +57,8 @@
 	g.Expect(got.Entries).To(gomega.HaveLen(8))
 }
 
+// TestCorruptLogIsDetected checks that Open refuses a log that is damaged within its synced
+// size.
 func TestCorruptLogIsDetected(t *testing.T) {
 	for name, damage := range map[string]func(b []byte) []byte{
 		"flipped bit at the start": func(b []byte) []byte { b[10] ^= 1; return b },
