--- a/member/meta.go
+++ b/member/meta.go
@@ -28,6 +28,7 @@
 	Draining
 )
 
+// stateNames holds the names of the states, indexed by State.
 var stateNames = [...]string{"absent", "starting", "serving", "draining"}
 
 // String returns the name of the state as used in announcements.
@@ -91,12 +92,12 @@
 	Service string
 	// AtMs is the time of the termination by the node's clock, in Unix milliseconds.
 	AtMs int64
-	// Marks holds the fingerprints of the requests in flight, at most MaxFingerprints; see package
-	// quarantine.
+	// Marks holds the fingerprints of the requests in flight, at most MaxFingerprints;
+	// see package quarantine.
 	Marks []uint64
 }
 
-// MaxFingerprints limits the fingerprints of one Termination, so that a record fits into a packet.
+// MaxFingerprints limits the fingerprints of one Termination, so that it fits into a packet.
 const MaxFingerprints = 48
 
 // RemoteTermination is a Termination on a node of another failure domain.
@@ -149,15 +150,15 @@
 // replicas.
 const ReplicaService = "_replica"
 
-// terminationServicePrefix begins the pseudo-services under which a failure domain publishes recent
-// terminations of its backend servers. Each holds one termination, so that it fits into a packet.
+// terminationServicePrefix begins the pseudo-services under which a failure domain publishes
+// recent terminations of its backend servers. Each holds one, so that it fits into a packet.
 const terminationServicePrefix = "_ended."
 
 // TerminationSlots is the number of terminations that a failure domain publishes at a time.
 const TerminationSlots = 4
 
-// TerminationSlot returns the slot of a termination on the node with the given ID. It is the same on all
-// members that publish the termination.
+// TerminationSlot returns the slot of a termination on the node with the given ID. It is the
+// same on all members that publish the termination.
 func TerminationSlot(id string, start uint32) int {
 	return int((hashID(id) + uint64(start)) % TerminationSlots)
 }
@@ -211,6 +212,7 @@
 }
 
 const (
+	// Prefixes of record keys.
 	summaryPrefix = "s/"
 	linkPrefix    = "d/"
 )
--- a/member/meta_test.go
+++ b/member/meta_test.go
@@ -9,6 +9,7 @@
 	"github.com/umberthread/umberthread/internal/codec"
 )
 
+// servingMeta returns the record of a node with a serving backend server.
 func servingMeta() Meta {
 	return Meta{Name: "n", Data: "10.0.0.1:7001", Service: "f/s", Slots: 8, Weight: 1, State: Serving, Replica: "r"}
 }
@@ -59,6 +60,7 @@
 	g.Expect(got.Instances).To(gomega.HaveLen(1), "replicas have no slots")
 }
 
+// FuzzDecode checks that decoded records name only usable backend servers and instances.
 func FuzzDecode(f *testing.F) {
 	m := servingMeta()
 	f.Add(m.Encode())
