--- a/raft/core.go
+++ b/raft/core.go
@@ -174,7 +174,7 @@
 	if err := c.checkCanPropose(); err != nil {
 		return 0, 0, err
 	}
-	e := c.appendEntry(Entry{Type: EntryData, Data: data})
+	e := c.append(Entry{Type: EntryData, Data: data})
 	c.broadcastAppend()
 	return e.Index, e.Term, nil
 }
@@ -205,7 +205,7 @@
 		return fault.New(fault.BadRequest, "only one voter can be changed at a time")
 	}
 	next = next.clone()
-	c.appendEntry(Entry{Type: EntryConf, Conf: &next})
+	c.append(Entry{Type: EntryConf, Conf: &next})
 	c.refreshConf()
 	c.broadcastAppend()
 	return nil
@@ -317,8 +317,8 @@
 	return c.saveTicks
 }
 
-// appendEntry adds an entry of the current term to the log.
-func (c *Core) appendEntry(e Entry) Entry {
+// append adds an entry of the current term to the log.
+func (c *Core) append(e Entry) Entry {
 	e.Term = c.state.Term
 	e.Index = c.log.lastIndex() + 1
 	c.log.entries = append(c.log.entries, e)
--- a/raft/election.go
+++ b/raft/election.go
@@ -166,7 +166,7 @@
 		p.recentlyActive = true
 	}
 	// An entry of the current term is needed to commit entries of earlier terms.
-	c.appendEntry(Entry{Type: EntryData})
+	c.append(Entry{Type: EntryData})
 	c.broadcastAppend()
 }
 
