--- a/member/meta.go
+++ b/member/meta.go
@@ -261,7 +261,8 @@
 // Encode returns the payload of a link record.
 func (l *Link) Encode() []byte { return codec.Encode(l) }
 
-// DecodeSummary decodes the payload of a summary record. It omits unusable instances.
+// DecodeSummary decodes the payload of a summary record. It omits unusable instances,
+// except under ReplicaService, whose instances have no slots.
 func DecodeSummary(b []byte) (*Summary, error) {
 	var s Summary
 	if err := codec.Decode(b, &s); err != nil {
--- a/raft/failover_test.go
+++ b/raft/failover_test.go
@@ -61,9 +61,9 @@
 	return took
 }
 
-// TestElectionTimeIndependentOfGroupSize checks that larger groups recover from the loss of
-// the leader and another voter as fast as small ones. Syncs take 1 to 30 ms.
-func TestElectionTimeIndependentOfGroupSize(t *testing.T) {
+// TestRecoveryTimeLimitByGroupSize checks that groups of any size recover from the loss of the
+// leader and another voter within the same limit. Syncs take 1 to 30 ms.
+func TestRecoveryTimeLimitByGroupSize(t *testing.T) {
 	const (
 		groups, commits = 100, 20
 		maxTime         = 2 * time.Second
