--- a/confstore/history_test.go
+++ b/confstore/history_test.go
@@ -90,7 +90,7 @@
 	store *Store
 	wait  map[uint64]pending
 	reads map[uint64]int
-	held  []raft.Read
+	held  []raft.ReadResult
 }
 
 type pending struct {
@@ -120,8 +120,8 @@
 		conf.Voters = append(conf.Voters, raft.Peer{ID: fmt.Sprint(i)})
 	}
 	for i := range 3 {
-		o := raft.Options{ID: fmt.Sprint(i), Election: 10, Heartbeat: 2, MaxBatch: 8, Rand: g.rng}
-		core := raft.New(o, raft.State{Term: 1, Commit: 1}, raft.Snapshot{Index: 1, Term: 1, Conf: conf}, nil)
+		o := raft.Options{ID: fmt.Sprint(i), ElectionTicks: 10, HeartbeatTicks: 2, MaxBatchEntries: 8, Rand: g.rng}
+		core := raft.New(o, raft.HardState{Term: 1, Commit: 1}, raft.Snapshot{Index: 1, Term: 1, Conf: conf}, nil)
 		g.members = append(g.members, &member{core: core, store: New(), wait: map[uint64]pending{}, reads: map[uint64]int{}})
 	}
 	return g
@@ -161,7 +161,7 @@
 		if rd.Empty() {
 			return
 		}
-		g.net = append(g.net, rd.Early...)
+		g.net = append(g.net, rd.ImmediateMessages...)
 		m.core.Advance(rd)
 		g.net = append(g.net, rd.Messages...)
 		for _, e := range rd.Committed {
--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -42,8 +42,8 @@
 	sm      stateMachine
 	inbox   *ring.Ring[func()]
 	waiters map[uint64]waiter
-	reads   map[uint64]chan raft.Read
-	waiting []raft.Read
+	reads   map[uint64]chan raft.ReadResult
+	waiting []raft.ReadResult
 	readID  uint64
 	ticks   int
 	role    raft.Role
@@ -76,13 +76,13 @@
 	done chan []byte
 }
 
-func openGroup(r *replicas, id int, w *logWriter, l wal.Loaded, m stateMachine) (*group, error) {
+func openGroup(r *replicas, id int, w *logWriter, l wal.Contents, m stateMachine) (*group, error) {
 	g := &group{
 		id: id, r: r, writer: w, sm: m, inbox: ring.New[func()](inboxSize),
-		waiters: map[uint64]waiter{}, reads: map[uint64]chan raft.Read{},
+		waiters: map[uint64]waiter{}, reads: map[uint64]chan raft.ReadResult{},
 	}
 	g.core = raft.New(raft.Options{
-		ID: r.id, Election: electionTicks, Heartbeat: heartbeatTicks, MaxBatch: maxBatch, Stall: stallTicks,
+		ID: r.id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, MaxBatchEntries: maxBatch, StallTicks: stallTicks,
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}, l.State, l.Snapshot, l.Entries)
 	if err := m.restore(l.Snapshot.Data); err != nil {
@@ -146,7 +146,7 @@
 	members, opt := g.members(), g.repairOptions()
 	settled := repair.Settled(members, opt)
 	g.settled.Store(settled)
-	g.noteBearing(repair.BearsLoss(members, opt))
+	g.noteBearing(repair.ToleratesFailure(members, opt))
 	if settled && g.ticks%repairEvery != 0 {
 		return
 	}
@@ -174,7 +174,7 @@
 		if rd.Empty() {
 			break
 		}
-		g.r.send(g, rd.Early)
+		g.r.send(g, rd.ImmediateMessages)
 		if rd.Snapshot != nil {
 			if err := g.sm.restore(rd.Snapshot.Data); err != nil {
 				g.fail(err)
@@ -236,7 +236,7 @@
 	w.done <- result
 }
 
-func (g *group) answerReads(rs []raft.Read) {
+func (g *group) answerReads(rs []raft.ReadResult) {
 	g.waiting = append(g.waiting, rs...)
 	kept := g.waiting[:0]
 	for _, r := range g.waiting {
@@ -308,39 +308,39 @@
 		return
 	}
 	g.compacting = true
-	g.writer.jobs.Offer(writeJob{reset: &logReset{snap: snap, tail: g.core.Tail()}})
+	g.writer.jobs.Offer(writeJob{reset: &logReset{snap: snap, tail: g.core.EntriesAfterSnapshot()}})
 }
 
 // members is what the decision about the membership looks at.
-func (g *group) members() repair.Group {
+func (g *group) members() repair.GroupStatus {
 	conf := g.core.Conf()
 	health := map[string]repair.Health{}
 	for _, p := range append(append([]raft.Peer(nil), conf.Voters...), conf.Learners...) {
-		if ticks, lag, ok := g.core.Silent(p.ID); ok {
-			if conf.Voter(p.ID) {
+		if ticks, lag, ok := g.core.PeerStatus(p.ID); ok {
+			if conf.IsVoter(p.ID) {
 				// A voter whose disk confirms nothing is as good as silent; a learner
 				// may be at work on a large snapshot.
-				ticks = max(ticks, g.core.Unsaved(p.ID))
+				ticks = max(ticks, g.core.UnsavedTicks(p.ID))
 			}
-			health[p.ID] = repair.Health{Silent: time.Duration(ticks) * raftTick, Lag: lag}
+			health[p.ID] = repair.Health{SilentFor: time.Duration(ticks) * raftTick, Lag: lag}
 		}
 	}
-	return repair.Group{Conf: conf, Self: g.r.id, Health: health, Candidates: g.r.verified()}
+	return repair.GroupStatus{Conf: conf, LeaderID: g.r.id, Health: health, Candidates: g.r.verified()}
 }
 
 func (g *group) repairOptions() repair.Options {
 	o := &g.r.n.opt
 	return repair.Options{
-		Target: o.Replicas, SuspectAfter: o.SuspectAfter.Duration, ReplaceAfter: o.ReplaceAfter.Duration, MaxLag: caughtUp,
+		TargetVoters: o.Replicas, SuspectAfter: o.SuspectAfter.Duration, ReplaceAfter: o.ReplaceAfter.Duration, MaxLag: caughtUp,
 	}
 }
 
 // repair makes the next change of the membership, if there is one to make.
-func (g *group) repair(members repair.Group, opt repair.Options) {
+func (g *group) repair(members repair.GroupStatus, opt repair.Options) {
 	if g.core.ConfPending() {
 		return
 	}
-	plan, ok := repair.Next(members, opt)
+	plan, ok := repair.NextChange(members, opt)
 	if !ok {
 		return
 	}
@@ -412,7 +412,7 @@
 // read waits until the state machine reflects all that was committed before,
 // and runs f on it.
 func (g *group) read(wait time.Duration, f func()) error {
-	done := make(chan raft.Read, 1)
+	done := make(chan raft.ReadResult, 1)
 	ok := g.post(func() {
 		g.readID++
 		g.reads[g.readID] = done
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -32,7 +32,7 @@
 	brokenFor  = 1500 * time.Millisecond
 	brokenKept = 512
 	// endRequests is how many requests an end names.
-	endRequests = member.MaxEndMarks / 2
+	endRequests = member.MaxFingerprints / 2
 	// endHeard is how old an end may be to be counted by a node that hears of it. A
 	// node that joins is told of the quarantines, not of what led to them.
 	endHeard = 30 * time.Second
@@ -66,8 +66,8 @@
 	table *quarantine.Table
 	// lastEnd and cleared are what this node tells others: the last end of the backend
 	// server beside it, and the suspected marks of which it saw an answer.
-	lastEnd *member.End
-	cleared []member.Answer
+	lastEnd *member.Termination
+	cleared []member.AnsweredRequest
 	// broken are the requests whose connections broke last.
 	broken []inWork
 	next   int
@@ -75,8 +75,8 @@
 	collected uint32
 	// recent and recentAnswers are the last ends, and answers to suspected requests, in this
 	// failure domain, told to the others.
-	recent        [member.EndSlots]*member.RemoteEnd
-	recentAnswers []member.Answer
+	recent        [member.TerminationSlots]*member.RemoteTermination
+	recentAnswers []member.AnsweredRequest
 	// lastEnds is when the last ends in this failure domain were heard of.
 	lastEnds []time.Duration
 	// described names a request for the marks of which this node has seen one.
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -105,7 +105,7 @@
 			return err
 		}
 		if r.n.opt.SyncHold != "" {
-			w.HoldSyncs(r.n.awaitHeldDisk)
+			w.SetBeforeSync(r.n.awaitHeldDisk)
 		}
 		var m stateMachine = &claimMachine{}
 		if id == configGroup {
@@ -143,7 +143,7 @@
 		return fault.New(fault.Corrupt, "the replica's identity is gone")
 	}
 	r.id = newID()
-	return wal.WriteFile(dir, identityName, []byte(r.id))
+	return wal.WriteFileAtomic(dir, identityName, []byte(r.id))
 }
 
 const (
@@ -311,12 +311,12 @@
 	if len(g.core.Conf().Voters) > 0 {
 		return fault.New(fault.Conflict, "this replica already belongs to a group")
 	}
-	snap := raft.Form(self, nil)
-	st := raft.State{Term: snap.Term, Commit: snap.Index}
+	snap := raft.InitialSnapshot(self, nil)
+	st := raft.HardState{Term: snap.Term, Commit: snap.Index}
 	if err := g.writeNow(&logReset{snap: snap, state: &st}); err != nil {
 		return err
 	}
-	next, err := openGroup(g.r, g.id, g.writer, wal.Loaded{State: st, Snapshot: snap}, g.sm)
+	next, err := openGroup(g.r, g.id, g.writer, wal.Contents{State: st, Snapshot: snap}, g.sm)
 	if err != nil {
 		return err
 	}
--- a/repair/availability_test.go
+++ b/repair/availability_test.go
@@ -10,81 +10,86 @@
 	"github.com/umberthread/umberthread/raft"
 )
 
-// The fleet of this test runs in virtual time: real raft cores and the real
-// repair decision, with losses of one replica after another. A loss is borne
-// if the group still commits while it lasts.
+// The simulation runs real raft cores and the real repair decisions in virtual time, with a
+// sequence of replica failures. The group must keep committing during each of them.
 const (
+	// simTick is the tick interval of the replicas.
 	simTick = 25 * time.Millisecond
-	// simGossip is how long a new replica takes to be known to the leader.
-	simGossip = 800 * time.Millisecond
-	// simRestart is how long a process takes to start again.
-	simRestart = 500 * time.Millisecond
-	// simCatchUp is how long after a loss is over the next one may come.
-	simCatchUp = 4 * time.Second
-	// simElect is within which a group that lost its leader commits again.
-	simElect = 3 * time.Second
-	// simSettled and simUnsettled are the times between two looks.
-	simSettled, simUnsettled = 500 * time.Millisecond, 100 * time.Millisecond
+	// simDiscoveryDelay is the delay until the leader learns of a new replica.
+	simDiscoveryDelay = 800 * time.Millisecond
+	// simRestartTime is the restart time of a process.
+	simRestartTime = 500 * time.Millisecond
+	// simFailureInterval is the minimum time between the end of a failure and the next one.
+	simFailureInterval = 4 * time.Second
+	// simMaxElectionTime is the maximum time without commits after the loss of the leader.
+	simMaxElectionTime = 3 * time.Second
+	// simSettledInterval and simUnsettledInterval are the intervals between repair checks
+	// of a settled and of any other group.
+	simSettledInterval, simUnsettledInterval = 500 * time.Millisecond, 100 * time.Millisecond
 )
 
-// simReplica is one replica and its disk.
+// simReplica is a replica and its disk.
 type simReplica struct {
 	raft.Peer
-	core    *raft.Core
-	state   raft.State
-	snap    raft.Snapshot
-	entries []raft.Entry
-	known   time.Duration
-	// up is false while the process is gone, and frozen and cut are what
-	// their names say. waiting are messages that reach it when it thaws.
-	up, frozen, cut bool
-	waiting         []raft.Message
+	core         *raft.Core
+	state        raft.HardState
+	snap         raft.Snapshot
+	entries      []raft.Entry
+	discoveredAt time.Duration
+	// running is false while the process is down. A frozen replica receives its inbox only
+	// when it resumes; an isolated one neither sends nor receives messages.
+	running, frozen, isolated bool
+	inbox                     []raft.Message
 }
 
-type simFleet struct {
+// simGroup simulates the replicas of a group and their network.
+type simGroup struct {
 	t        *testing.T
 	rng      *rand.Rand
-	now      time.Duration
+	clock    time.Duration
 	replicas []*simReplica
-	net      []raft.Message
-	// acked are the acknowledged commands by index, and pending the terms of
-	// those that were proposed.
-	acked   map[uint64]string
-	pending map[uint64]uint64
-	lastAck time.Duration
-	asked   int
-	newIDs  int
-	lookAt  time.Duration
-	opt     Options
-	removed int
+	inFlight []raft.Message
+	// acked holds the acknowledged entries, and proposedTerms the terms of proposed
+	// commands, both by index.
+	acked           map[uint64]string
+	proposedTerms   map[uint64]uint64
+	lastAck         time.Duration
+	ticksWithLeader int
+	replacements    int
+	nextRepair      time.Duration
+	options         Options
+	removedVoters   int
 }
 
-func newSimFleet(t *testing.T, seed uint64, domains int, o Options) *simFleet {
-	f := &simFleet{t: t, rng: rand.New(rand.NewPCG(seed, 7)), acked: map[uint64]string{}, pending: map[uint64]uint64{}, opt: o}
+// newSimGroup returns replicas in separate failure domains, the first of them voters.
+func newSimGroup(t *testing.T, seed uint64, domains int, o Options) *simGroup {
+	f := &simGroup{t: t, rng: rand.New(rand.NewPCG(seed, 7)), acked: map[uint64]string{}, proposedTerms: map[uint64]uint64{}, options: o}
 	var conf raft.Conf
 	for i := range domains {
 		p := raft.Peer{ID: fmt.Sprintf("r%d", i), Addr: fmt.Sprintf("a%d", i), Domain: fmt.Sprintf("d%d", i)}
 		r := &simReplica{Peer: p}
-		if i < o.Target {
+		if i < o.TargetVoters {
 			conf.Voters = append(conf.Voters, p)
 		}
 		f.replicas = append(f.replicas, r)
 	}
 	for i, r := range f.replicas {
-		if i < o.Target {
-			r.snap, r.state = raft.Snapshot{Index: 1, Term: 1, Conf: conf}, raft.State{Term: 1, Commit: 1}
+		if i < o.TargetVoters {
+			r.snap, r.state = raft.Snapshot{Index: 1, Term: 1, Conf: conf}, raft.HardState{Term: 1, Commit: 1}
 		}
-		f.boot(r)
+		f.start(r)
 	}
 	return f
 }
 
-func (f *simFleet) boot(r *simReplica) {
-	r.up = true
-	r.core = raft.New(raft.Options{ID: r.ID, Election: 20, Heartbeat: 3, MaxBatch: 256, Rand: f.rng}, r.state, r.snap, slices.Clone(r.entries))
+// start starts a replica from its disk.
+func (f *simGroup) start(r *simReplica) {
+	r.running = true
+	r.core = raft.New(raft.Options{ID: r.ID, ElectionTicks: 20, HeartbeatTicks: 3, MaxBatchEntries: 256, Rand: f.rng}, r.state, r.snap, slices.Clone(r.entries))
 }
 
-func (f *simFleet) work(r *simReplica) {
+// processReady does the pending work of a replica.
+func (f *simGroup) processReady(r *simReplica) {
 	for {
 		rd := r.core.Ready()
 		if rd.Empty() {
@@ -100,90 +105,94 @@
 			r.state = *rd.State
 		}
 		r.core.Advance(rd)
-		f.net = append(f.net, rd.Early...)
-		f.net = append(f.net, rd.Messages...)
+		f.inFlight = append(f.inFlight, rd.ImmediateMessages...)
+		f.inFlight = append(f.inFlight, rd.Messages...)
 		for _, e := range rd.Committed {
 			f.apply(r, e)
 		}
 	}
-	if len(r.entries) > simLog {
+	if len(r.entries) > compactAfterEntries {
 		if snap, ok := r.core.Compact(r.core.Applied(), nil); ok {
-			r.snap, r.entries = snap, r.core.Tail()
+			r.snap, r.entries = snap, r.core.EntriesAfterSnapshot()
 		}
 	}
 }
 
-// simLog is how many entries a replica keeps before a snapshot.
-const simLog = 30
+// compactAfterEntries is the log length that triggers a snapshot.
+const compactAfterEntries = 30
 
-// apply checks that replicas agree, and acknowledges what the proposing leader
-// applies in the term of the proposal.
-func (f *simFleet) apply(r *simReplica, e raft.Entry) {
+// apply checks that replicas apply the same entries. It acknowledges an entry that is applied in
+// the term of its proposal.
+func (f *simGroup) apply(r *simReplica, e raft.Entry) {
 	text := fmt.Sprintf("%d/%d/%s", e.Term, e.Type, e.Data)
 	if old, ok := f.acked[e.Index]; ok && old != text {
-		f.t.Fatalf("%v: index %d: %s applies %q, acknowledged was %q", f.now, e.Index, r.ID, text, old)
+		f.t.Fatalf("%v: index %d: %s applies %q, acknowledged %q", f.clock, e.Index, r.ID, text, old)
 	}
-	if f.pending[e.Index] == e.Term {
+	if f.proposedTerms[e.Index] == e.Term {
 		f.acked[e.Index] = text
-		f.lastAck = f.now
-		delete(f.pending, e.Index)
+		f.lastAck = f.clock
+		delete(f.proposedTerms, e.Index)
 	}
 }
 
-func (f *simFleet) reaches(r *simReplica) bool { return r.up && !r.frozen && !r.cut }
+// isReachable reports whether a replica runs and is connected to the others.
+func (f *simGroup) isReachable(r *simReplica) bool { return r.running && !r.frozen && !r.isolated }
 
-// step plays one tick.
-func (f *simFleet) step() {
-	f.now += simTick
-	msgs := f.net
-	f.net = nil
+// step advances the simulation by one tick.
+func (f *simGroup) advance() {
+	f.clock += simTick
+	msgs := f.inFlight
+	f.inFlight = nil
 	for _, m := range msgs {
 		f.deliver(m)
 	}
 	for _, r := range f.replicas {
-		if r.up && !r.frozen {
+		if r.running && !r.frozen {
 			r.core.Tick()
-			f.work(r)
+			f.processReady(r)
 		}
 	}
 	l := f.leader()
 	if l == nil {
 		return
 	}
-	f.propose(l)
-	if f.now >= f.lookAt {
-		f.look(l)
+	f.proposeCommand(l)
+	if f.clock >= f.nextRepair {
+		f.runRepair(l)
 	}
-	f.work(l)
+	f.processReady(l)
 }
 
-// simCommand is how many ticks lie between two commands.
-const simCommand = 8
+// commandEveryTicks is the number of ticks between two commands.
+const commandEveryTicks = 8
 
-func (f *simFleet) propose(l *simReplica) {
-	f.asked++
-	if f.asked%simCommand != 0 {
+// proposeCommand makes the leader propose a command every commandEveryTicks.
+func (f *simGroup) proposeCommand(l *simReplica) {
+	f.ticksWithLeader++
+	if f.ticksWithLeader%commandEveryTicks != 0 {
 		return
 	}
-	if i, term, err := l.core.Propose([]byte(fmt.Sprint(f.asked))); err == nil {
-		f.pending[i] = term
+	if i, term, err := l.core.Propose([]byte(fmt.Sprint(f.ticksWithLeader))); err == nil {
+		f.proposedTerms[i] = term
 	}
 }
 
-func (f *simFleet) deliver(m raft.Message) {
-	from, to := f.byID(m.From), f.byID(m.To)
-	if from == nil || to == nil || !to.up || from.cut || to.cut {
+// deliver passes a message to its receiver unless one of the two is disconnected.
+func (f *simGroup) deliver(m raft.Message) {
+	from, to := f.replicaByID(m.From), f.replicaByID(m.To)
+	if from == nil || to == nil || !to.running || from.isolated || to.isolated {
 		return
 	}
 	if to.frozen {
-		to.waiting = append(to.waiting, m)
+		to.inbox = append(to.inbox, m)
 		return
 	}
 	to.core.Step(m)
-	f.work(to)
+	f.processReady(to)
 }
 
-func (f *simFleet) byID(id string) *simReplica {
+// replicaByID returns the replica with the given ID, nil if there is none.
+func (f *simGroup) replicaByID(id string) *simReplica {
 	for _, r := range f.replicas {
 		if r.ID == id {
 			return r
@@ -192,43 +201,43 @@
 	return nil
 }
 
-// leader returns the leader of the highest term that others can reach.
-func (f *simFleet) leader() *simReplica {
+// leader returns the reachable leader of the highest term.
+func (f *simGroup) leader() *simReplica {
 	var best *simReplica
 	for _, r := range f.replicas {
-		if f.reaches(r) && r.core.Role() == raft.Leader && (best == nil || r.core.Term() > best.core.Term()) {
+		if f.isReachable(r) && r.core.Role() == raft.Leader && (best == nil || r.core.Term() > best.core.Term()) {
 			best = r
 		}
 	}
 	return best
 }
 
-// look does what a leader's shell does now and then.
-func (f *simFleet) look(l *simReplica) {
-	g := Group{Conf: l.core.Conf(), Self: l.ID, Health: map[string]Health{}}
+// runRepair makes the leader's periodic repair decision.
+func (f *simGroup) runRepair(l *simReplica) {
+	g := GroupStatus{Conf: l.core.Conf(), LeaderID: l.ID, Health: map[string]Health{}}
 	for _, p := range slices.Concat(g.Conf.Voters, g.Conf.Learners) {
-		if ticks, lag, ok := l.core.Silent(p.ID); ok {
-			g.Health[p.ID] = Health{Silent: time.Duration(ticks) * simTick, Lag: lag}
+		if ticks, lag, ok := l.core.PeerStatus(p.ID); ok {
+			g.Health[p.ID] = Health{SilentFor: time.Duration(ticks) * simTick, Lag: lag}
 		}
 	}
 	for _, r := range f.replicas {
-		if f.reaches(r) && f.now >= r.known {
+		if f.isReachable(r) && f.clock >= r.discoveredAt {
 			g.Candidates = append(g.Candidates, r.Peer)
 		}
 	}
-	f.lookAt = f.now + simSettled
-	if !Settled(g, f.opt) {
-		f.lookAt = f.now + simUnsettled
+	f.nextRepair = f.clock + simSettledInterval
+	if !Settled(g, f.options) {
+		f.nextRepair = f.clock + simUnsettledInterval
 	}
-	if p, ok := Next(g, f.opt); ok && l.core.ProposeConf(p.Conf) == nil {
+	if p, ok := NextChange(g, f.options); ok && l.core.ProposeConf(p.Conf) == nil {
 		if len(p.Conf.Voters) < len(g.Conf.Voters) {
-			f.removed++
+			f.removedVoters++
 		}
 	}
 }
 
-// bears tells whether the group commits on after any one further loss.
-func (f *simFleet) bears() bool {
+// toleratesFailure reports whether the group can commit after any one more failure.
+func (f *simGroup) toleratesFailure() bool {
 	l := f.leader()
 	if l == nil || l.core.ConfPending() {
 		return false
@@ -236,36 +245,38 @@
 	conf := l.core.Conf()
 	sound := 0
 	for _, v := range conf.Voters {
-		r := f.byID(v.ID)
-		if r == nil || !f.reaches(r) {
+		r := f.replicaByID(v.ID)
+		if r == nil || !f.isReachable(r) {
 			continue
 		}
-		if _, lag, ok := l.core.Silent(v.ID); v.ID == l.ID || ok && lag <= f.opt.MaxLag {
+		if _, lag, ok := l.core.PeerStatus(v.ID); v.ID == l.ID || ok && lag <= f.options.MaxLag {
 			sound++
 		}
 	}
 	return sound-1 >= len(conf.Voters)/2+1
 }
 
-func (f *simFleet) run(d time.Duration) {
-	for end := f.now + d; f.now < end; {
-		f.step()
+// runFor runs the simulation for d.
+func (f *simGroup) runFor(d time.Duration) {
+	for end := f.clock + d; f.clock < end; {
+		f.advance()
 	}
 }
 
-// until plays until done, and fails after the bound.
-func (f *simFleet) until(what string, bound time.Duration, done func() bool) time.Duration {
-	from := f.now
+// waitUntil runs the simulation until done returns true, and fails the test after the limit.
+func (f *simGroup) waitUntil(what string, bound time.Duration, done func() bool) time.Duration {
+	from := f.clock
 	for !done() {
-		if f.now-from > bound {
-			f.t.Fatalf("%v: not within %v: %s; %s", f.now, bound, what, f.describe())
+		if f.clock-from > bound {
+			f.t.Fatalf("%v: condition not met within %v: %s; %s", f.clock, bound, what, f.describe())
 		}
-		f.step()
+		f.advance()
 	}
-	return f.now - from
+	return f.clock - from
 }
 
-func (f *simFleet) describe() string {
+// describe returns the state of the group for failure messages.
+func (f *simGroup) describe() string {
 	l := f.leader()
 	if l == nil {
 		return "no leader"
@@ -273,68 +284,70 @@
 	return fmt.Sprintf("%s leads %v in term %d, pending %v", l.ID, l.core.Conf(), l.core.Term(), l.core.ConfPending())
 }
 
-func (f *simFleet) fresh(addr, domain string, after time.Duration) *simReplica {
-	f.newIDs++
+// addReplica starts a new replica that the leader discovers after the given delay.
+func (f *simGroup) addReplica(addr, domain string, after time.Duration) *simReplica {
+	f.replacements++
 	r := &simReplica{
-		Peer:  raft.Peer{ID: fmt.Sprintf("n%d", f.newIDs), Addr: addr, Domain: domain},
-		known: f.now + after,
+		Peer:         raft.Peer{ID: fmt.Sprintf("n%d", f.replacements), Addr: addr, Domain: domain},
+		discoveredAt: f.clock + after,
 	}
 	f.replicas = append(f.replicas, r)
-	f.boot(r)
+	f.start(r)
 	return r
 }
 
-func (f *simFleet) drop(r *simReplica) {
+// removeReplica removes a replica and its disk.
+func (f *simGroup) removeReplica(r *simReplica) {
 	f.replicas = slices.DeleteFunc(f.replicas, func(x *simReplica) bool { return x == r })
 }
 
-// The kinds of losses. Each returns when the replica, or its successor, runs.
-var simLosses = map[string]func(f *simFleet, r *simReplica, lasts time.Duration){
-	"replaced": func(f *simFleet, r *simReplica, lasts time.Duration) {
-		f.drop(r)
-		f.run(min(lasts, 2*time.Second))
-		f.fresh(r.Addr+"'", r.Domain, simGossip)
+// simFailures holds the kinds of failures. Each returns once the replica or its successor runs.
+var simFailures = map[string]func(f *simGroup, r *simReplica, lasts time.Duration){
+	"replaced": func(f *simGroup, r *simReplica, lasts time.Duration) {
+		f.removeReplica(r)
+		f.runFor(min(lasts, 2*time.Second))
+		f.addReplica(r.Addr+"'", r.Domain, simDiscoveryDelay)
 	},
-	"wiped": func(f *simFleet, r *simReplica, lasts time.Duration) {
-		f.drop(r)
-		f.run(simRestart + min(lasts, 3*time.Second))
-		f.fresh(r.Addr, r.Domain, simGossip)
+	"wiped": func(f *simGroup, r *simReplica, lasts time.Duration) {
+		f.removeReplica(r)
+		f.runFor(simRestartTime + min(lasts, 3*time.Second))
+		f.addReplica(r.Addr, r.Domain, simDiscoveryDelay)
 	},
-	"killed": func(f *simFleet, r *simReplica, lasts time.Duration) {
-		r.up = false
-		f.run(simRestart + lasts)
-		f.boot(r)
+	"killed": func(f *simGroup, r *simReplica, lasts time.Duration) {
+		r.running = false
+		f.runFor(simRestartTime + lasts)
+		f.start(r)
 	},
-	"frozen": func(f *simFleet, r *simReplica, lasts time.Duration) {
+	"frozen": func(f *simGroup, r *simReplica, lasts time.Duration) {
 		r.frozen = true
-		f.run(lasts)
+		f.runFor(lasts)
 		r.frozen = false
-		for _, m := range r.waiting {
+		for _, m := range r.inbox {
 			r.core.Step(m)
 		}
-		r.waiting = nil
+		r.inbox = nil
 	},
-	"cut": func(f *simFleet, r *simReplica, lasts time.Duration) {
-		r.cut = true
-		f.run(lasts)
-		r.cut = false
+	"cut": func(f *simGroup, r *simReplica, lasts time.Duration) {
+		r.isolated = true
+		f.runFor(lasts)
+		r.isolated = false
 	},
 }
 
-// repairOptions are those that the fleets of this test run with.
-var repairOptions = Options{Target: 3, SuspectAfter: 600 * time.Millisecond, ReplaceAfter: 2 * time.Second, MaxLag: 16}
+// repairOptions are the options of all simulations.
+var repairOptions = Options{TargetVoters: 3, SuspectAfter: 600 * time.Millisecond, ReplaceAfter: 2 * time.Second, MaxLag: 16}
 
-// playLosses plays a sequence of losses and returns the repair times, counted
-// from when the replica or its successor runs.
-func playLosses(t *testing.T, seed uint64, domains, losses int) []time.Duration {
-	f := newSimFleet(t, seed, domains, repairOptions)
-	f.until("a first leader", simElect, func() bool { return f.lastAck > 0 })
+// runFailures simulates a sequence of failures and returns the repair times, measured from when
+// the replica or its successor runs.
+func runFailures(t *testing.T, seed uint64, domains, losses int) []time.Duration {
+	f := newSimGroup(t, seed, domains, repairOptions)
+	f.waitUntil("a first leader", simMaxElectionTime, func() bool { return f.lastAck > 0 })
 	kinds := []string{"cut", "frozen", "killed", "replaced", "wiped"}
 	var times []time.Duration
 	for range losses {
-		f.run(time.Duration(f.rng.Int64N(int64(4 * time.Second))))
-		if !f.bears() {
-			t.Fatalf("seed %d at %v: the group does not bear the next loss", seed, f.now)
+		f.runFor(time.Duration(f.rng.Int64N(int64(4 * time.Second))))
+		if !f.toleratesFailure() {
+			t.Fatalf("seed %d at %v: the group does not tolerate another failure", seed, f.clock)
 		}
 		victim := f.replicas[f.rng.IntN(len(f.replicas))]
 		if l := f.leader(); f.rng.IntN(3) == 0 {
@@ -343,65 +356,63 @@
 		kind := kinds[f.rng.IntN(len(kinds))]
 		acked := f.lastAck
 		lasts := time.Duration(f.rng.Int64N(int64(8 * time.Second)))
-		simLosses[kind](f, victim, lasts)
-		if gap := f.now - acked; gap > simElect && f.lastAck <= acked {
-			t.Fatalf("seed %d at %v: nothing committed for %v while %s was %s", seed, f.now, gap, victim.ID, kind)
+		simFailures[kind](f, victim, lasts)
+		if gap := f.clock - acked; gap > simMaxElectionTime && f.lastAck <= acked {
+			t.Fatalf("seed %d at %v: nothing committed for %v while %s was %s", seed, f.clock, gap, victim.ID, kind)
 		}
-		from := f.now
-		took := f.until(fmt.Sprintf("seed %d: a group that bears the next loss after %s was %s", seed, victim.ID, kind), simCatchUp, f.bears)
+		from := f.clock
+		took := f.waitUntil(fmt.Sprintf("seed %d: tolerance of another failure after %s was %s", seed, victim.ID, kind), simFailureInterval, f.toleratesFailure)
 		times = append(times, took)
-		f.run(max(0, from+simCatchUp-f.now))
+		f.runFor(max(0, from+simFailureInterval-f.clock))
 	}
 	f.checkAcked(seed)
 	return times
 }
 
-// checkAcked checks that each voter has applied all that was acknowledged; that
-// they applied the same was checked at each entry.
-func (f *simFleet) checkAcked(seed uint64) {
+// checkAcked checks that each voter has applied all acknowledged entries; apply compares them.
+func (f *simGroup) checkAcked(seed uint64) {
 	last := uint64(0)
 	for i := range f.acked {
 		last = max(last, i)
 	}
-	f.run(time.Second)
+	f.runFor(time.Second)
 	for _, v := range f.leader().core.Conf().Voters {
-		if r := f.byID(v.ID); r == nil || r.core.Applied() < last {
+		if r := f.replicaByID(v.ID); r == nil || r.core.Applied() < last {
 			f.t.Fatalf("seed %d: %s lacks acknowledged entries up to %d", seed, v.ID, last)
 		}
 	}
 }
 
-// TestASeriesOfLossesIsBorne plays losses of one replica after another, each
-// as soon as the operators' figures allow, on groups that have a spare replica
-// and on groups that have none.
-func TestASeriesOfLossesIsBorne(t *testing.T) {
+// TestSeriesOfFailuresIsTolerated simulates failures of one replica after another in short
+// succession, on groups with and without a spare replica.
+func TestSeriesOfFailuresIsTolerated(t *testing.T) {
 	const seeds, losses = 200, 8
 	for _, domains := range []int{3, 4} {
 		t.Run(fmt.Sprintf("%d replicas", domains), func(t *testing.T) {
 			var all []time.Duration
 			for seed := range uint64(seeds) {
-				all = append(all, playLosses(t, seed, domains, losses)...)
+				all = append(all, runFailures(t, seed, domains, losses)...)
 			}
 			slices.Sort(all)
-			t.Logf("%d losses; time to a group that bears the next: median %v, 90%% %v, 99%% %v, longest %v",
+			t.Logf("%d failures; time until another is tolerated: median %v, 90%% %v, 99%% %v, longest %v",
 				len(all), all[len(all)/2], all[len(all)*9/10], all[len(all)*99/100], all[len(all)-1])
 		})
 	}
 }
 
-// TestAShortSilenceCostsNoMember: a restart or a short cut changes no voter,
-// though a spare replica is there.
-func TestAShortSilenceCostsNoMember(t *testing.T) {
+// TestShortSilenceRemovesNoVoter checks that a restart or a short partition does not change the
+// voters, even if a spare replica is available.
+func TestShortSilenceRemovesNoVoter(t *testing.T) {
 	for seed := range uint64(20) {
-		f := newSimFleet(t, seed, 4, repairOptions)
-		f.until("a first leader", simElect, func() bool { return f.lastAck > 0 })
-		f.run(time.Second)
+		f := newSimGroup(t, seed, 4, repairOptions)
+		f.waitUntil("a first leader", simMaxElectionTime, func() bool { return f.lastAck > 0 })
+		f.runFor(time.Second)
 		for _, kind := range []string{"killed", "cut", "frozen"} {
-			simLosses[kind](f, f.replicas[f.rng.IntN(3)], 800*time.Millisecond)
-			f.run(simCatchUp)
+			simFailures[kind](f, f.replicas[f.rng.IntN(3)], 800*time.Millisecond)
+			f.runFor(simFailureInterval)
 		}
-		if f.removed > 0 {
-			t.Fatalf("seed %d: %d voters were removed", seed, f.removed)
+		if f.removedVoters > 0 {
+			t.Fatalf("seed %d: %d voters were removed", seed, f.removedVoters)
 		}
 	}
 }
--- a/repair/repair_test.go
+++ b/repair/repair_test.go
@@ -9,86 +9,91 @@
 	"github.com/umberthread/umberthread/raft"
 )
 
-func peer(id, domain string) raft.Peer { return raft.Peer{ID: id, Addr: "at-" + id, Domain: domain} }
+// testPeer returns a peer with an address derived from its ID.
+func testPeer(id, domain string) raft.Peer {
+	return raft.Peer{ID: id, Addr: "at-" + id, Domain: domain}
+}
 
-var opt = Options{Target: 3, SuspectAfter: 10 * time.Second, ReplaceAfter: time.Minute, MaxLag: 16}
+var testOptions = Options{TargetVoters: 3, SuspectAfter: 10 * time.Second, ReplaceAfter: time.Minute, MaxLag: 16}
 
-// TestALostDiskIsReplacedStepByStep follows the whole repair of a replica that
-// comes back under a new identity at the same address.
-func TestALostDiskIsReplacedStepByStep(t *testing.T) {
+// TestLostDiskIsReplaced follows the repair of a replica that returns under a new identity at
+// the same address.
+func TestLostDiskIsReplaced(t *testing.T) {
 	g := gomega.NewWithT(t)
 	fresh := raft.Peer{ID: "c2", Addr: "at-c", Domain: "z"}
-	group := Group{
-		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, Self: "a",
-		Health:     map[string]Health{"b": {}, "c": {Silent: time.Second}},
-		Candidates: []raft.Peer{peer("a", "x"), peer("b", "y"), fresh},
+	group := GroupStatus{
+		Conf: raft.Conf{Voters: []raft.Peer{testPeer("a", "x"), testPeer("b", "y"), testPeer("c", "z")}}, LeaderID: "a",
+		Health:     map[string]Health{"b": {}, "c": {SilentFor: time.Second}},
+		Candidates: []raft.Peer{testPeer("a", "x"), testPeer("b", "y"), fresh},
 	}
-	p, ok := Next(group, opt)
+	p, ok := NextChange(group, testOptions)
 	g.Expect(ok).To(gomega.BeTrue())
-	g.Expect(p.Conf.Learner("c2")).To(gomega.BeTrue())
+	g.Expect(p.Conf.IsLearner("c2")).To(gomega.BeTrue())
 	g.Expect(p.Conf.Voters).To(gomega.HaveLen(3))
 
 	group.Conf = p.Conf
 	group.Health["c2"] = Health{Lag: 1000}
-	_, ok = Next(group, opt)
-	g.Expect(ok).To(gomega.BeFalse(), "a learner that lags gets no vote")
+	_, ok = NextChange(group, testOptions)
+	g.Expect(ok).To(gomega.BeFalse(), "a lagging learner must not be promoted")
 
 	group.Health["c2"] = Health{Lag: 3}
-	p, _ = Next(group, opt)
-	g.Expect(p.Conf.Voter("c2")).To(gomega.BeTrue())
+	p, _ = NextChange(group, testOptions)
+	g.Expect(p.Conf.IsVoter("c2")).To(gomega.BeTrue())
 	g.Expect(p.Conf.Voters).To(gomega.HaveLen(4))
 
 	group.Conf = p.Conf
-	p, _ = Next(group, opt)
-	g.Expect(p.Conf.Voter("c")).To(gomega.BeFalse())
+	p, _ = NextChange(group, testOptions)
+	g.Expect(p.Conf.IsVoter("c")).To(gomega.BeFalse())
 	g.Expect(p.Conf.Voters).To(gomega.HaveLen(3))
 
 	group.Conf = p.Conf
-	_, ok = Next(group, opt)
+	_, ok = NextChange(group, testOptions)
 	g.Expect(ok).To(gomega.BeFalse())
 }
 
-func TestASilentReplicaIsReplacedFromTheEmptiestDomain(t *testing.T) {
+// TestReplacementComesFromLeastUsedDomain checks that a silent voter is replaced from the
+// failure domain with the fewest voters.
+func TestReplacementComesFromLeastUsedDomain(t *testing.T) {
 	g := gomega.NewWithT(t)
-	group := Group{
-		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, Self: "a",
-		Health:     map[string]Health{"b": {}, "c": {Silent: 2 * time.Minute}},
-		Candidates: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("d", "x"), peer("e", "w")},
+	group := GroupStatus{
+		Conf: raft.Conf{Voters: []raft.Peer{testPeer("a", "x"), testPeer("b", "y"), testPeer("c", "z")}}, LeaderID: "a",
+		Health:     map[string]Health{"b": {}, "c": {SilentFor: 2 * time.Minute}},
+		Candidates: []raft.Peer{testPeer("a", "x"), testPeer("b", "y"), testPeer("d", "x"), testPeer("e", "w")},
 	}
-	p, _ := Next(group, opt)
-	g.Expect(p.Conf.Learner("e")).To(gomega.BeTrue())
+	p, _ := NextChange(group, testOptions)
+	g.Expect(p.Conf.IsLearner("e")).To(gomega.BeTrue())
 }
 
-func TestNobodyToTakeThePlaceChangesNothing(t *testing.T) {
+// TestNoChangeWithoutReplacement checks that a silent voter keeps its place while there is no
+// replacement.
+func TestNoChangeWithoutReplacement(t *testing.T) {
 	g := gomega.NewWithT(t)
-	_, ok := Next(Group{
-		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, Self: "a",
-		Health:     map[string]Health{"b": {}, "c": {Silent: time.Hour}},
-		Candidates: []raft.Peer{peer("a", "x"), peer("b", "y")},
-	}, opt)
-	g.Expect(ok).To(gomega.BeFalse(), "removing without a substitute only lowers the quorum")
+	_, ok := NextChange(GroupStatus{
+		Conf: raft.Conf{Voters: []raft.Peer{testPeer("a", "x"), testPeer("b", "y"), testPeer("c", "z")}}, LeaderID: "a",
+		Health:     map[string]Health{"b": {}, "c": {SilentFor: time.Hour}},
+		Candidates: []raft.Peer{testPeer("a", "x"), testPeer("b", "y")},
+	}, testOptions)
+	g.Expect(ok).To(gomega.BeFalse(), "removing a voter without a replacement only reduces fault tolerance")
 }
 
-// TestAReplicaThatAnswersAtTwoAddressesIsNotMoved: a replica answers at the address
-// that the group knows it by, and at another one, from the settings. The group took
-// it for moved to the other address and back, ten times a second, and made no other
-// change: a disk that was lost at the same time was never replaced.
-func TestAReplicaThatAnswersAtTwoAddressesIsNotMoved(t *testing.T) {
+// A replica may respond at its configured address and at another one. Its address must not
+// alternate between them, which would block the replacement of a lost disk.
+func TestReplicaWithTwoAddressesKeepsItsAddress(t *testing.T) {
 	g := gomega.NewWithT(t)
 	other := raft.Peer{ID: "b", Addr: "at-b-too", Domain: "y"}
-	group := Group{
-		Conf: raft.Conf{Voters: []raft.Peer{peer("a", "x"), peer("b", "y"), peer("c", "z")}}, Self: "a",
-		Health:     map[string]Health{"b": {}, "c": {Silent: 2 * time.Minute}},
-		Candidates: []raft.Peer{other, peer("b", "y"), peer("d", "z")},
+	group := GroupStatus{
+		Conf: raft.Conf{Voters: []raft.Peer{testPeer("a", "x"), testPeer("b", "y"), testPeer("c", "z")}}, LeaderID: "a",
+		Health:     map[string]Health{"b": {}, "c": {SilentFor: 2 * time.Minute}},
+		Candidates: []raft.Peer{other, testPeer("b", "y"), testPeer("d", "z")},
 	}
-	p, ok := Next(group, opt)
+	p, ok := NextChange(group, testOptions)
 	g.Expect(ok).To(gomega.BeTrue())
-	g.Expect(p.Conf.Voters).To(gomega.ContainElement(peer("b", "y")))
-	g.Expect(p.Conf.Learner("d")).To(gomega.BeTrue(), p.Reason)
+	g.Expect(p.Conf.Voters).To(gomega.ContainElement(testPeer("b", "y")))
+	g.Expect(p.Conf.IsLearner("d")).To(gomega.BeTrue(), p.Reason)
 
-	// Where it no longer answers at its address, it has moved.
-	group.Candidates = []raft.Peer{other, peer("d", "z")}
-	p, ok = Next(group, opt)
+	// It has moved once it no longer responds at its previous address.
+	group.Candidates = []raft.Peer{other, testPeer("d", "z")}
+	p, ok = NextChange(group, testOptions)
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(p.Conf.Voters).To(gomega.ContainElement(other))
 }
