--- a/internal/node/document.go
+++ b/internal/node/document.go
@@ -41,10 +41,10 @@
 	return p
 }
 
-// Replace puts a document in the place of the one in force. The result's Code
+// ReplaceSettings puts a document in the place of the one in force. The result's Code
 // is Conflict if another number is in force than the one it is based on. The
 // error's Run is RunNo only if the document certainly was not taken.
-func (n *Node) Replace(r *Replacement, wait time.Duration) (confstore.Result, *fault.Error) {
+func (n *Node) ReplaceSettings(r *Replacement, wait time.Duration) (confstore.Result, *fault.Error) {
 	deadline := time.Now().Add(wait)
 	maybe := false
 	for {
