--- a/internal/node/document.go
+++ b/internal/node/document.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// Current returns the entries in force, confirmed by a quorum.
-func (n *Node) Current(wait time.Duration) (settings.Entries, *fault.Error) {
+// CurrentSettings returns the entries in force, confirmed by a quorum.
+func (n *Node) CurrentSettings(wait time.Duration) (settings.Entries, *fault.Error) {
 	r, ferr := n.readCurrent(wait)
 	if ferr != nil {
 		return nil, ferr
