--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -219,10 +219,10 @@
 	n.retired[instance] = retirement{born, now}
 }
 
-// Withdraw takes in that a start of a backend server leaves for good. What it
+// WithdrawBackend takes in that a start of a backend server leaves for good. What it
 // has in hand goes on. born is 0 if the withdrawal does not say: then it is of
 // the start that is known.
-func (n *Node) Withdraw(instance string, born int64) {
+func (n *Node) WithdrawBackend(instance string, born int64) {
 	n.localMu.Lock()
 	be := n.local.Load()
 	known := be != nil && be.instance == instance
--- a/internal/node/restart_test.go
+++ b/internal/node/restart_test.go
@@ -70,14 +70,14 @@
 	late := said(addr, 1000, 58)
 	late.State = "draining"
 	g.Expect(announce(late)).To(gomega.BeIdenticalTo(second))
-	n.Withdraw("x", 1000)
+	n.WithdrawBackend("x", 1000)
 	g.Expect(n.local.Load()).To(gomega.BeIdenticalTo(second), "the earlier start withdrew, not this one")
 	unborn := said(addr, 0, 99)
 	g.Expect(announce(unborn)).To(gomega.BeIdenticalTo(second), "one that does not say its birth is of another writer")
 	third := announce(said(addr, 2000, 2))
 	g.Expect(third.start).To(gomega.Equal(second.start))
 
-	n.Withdraw("x", 2000)
+	n.WithdrawBackend("x", 2000)
 	g.Expect(n.local.Load()).To(gomega.BeNil())
 	g.Expect(announce(said(addr, 2000, 3))).To(gomega.BeNil(), "it has withdrawn")
 	g.Expect(announce(said(addr, 3000, 1)).state).To(gomega.Equal(member.Serving))
@@ -94,7 +94,7 @@
 			if known {
 				g.Expect(n.Announce(said(addr, 0, 0))).To(gomega.BeNil())
 			}
-			n.Withdraw("x", 0)
+			n.WithdrawBackend("x", 0)
 			before := time.Now().Add(-time.Second).UnixMilli()
 			g.Expect(n.Announce(said(addr, before, 12))).To(gomega.BeNil())
 			g.Expect(n.local.Load()).To(gomega.BeNil())
