--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -179,7 +179,7 @@
 	n.duty("refresh", n.refreshLoop)
 	n.duty("find", n.findLoop)
 	n.replicas.start()
-	if n.opt.Found {
+	if n.opt.FormGroups {
 		n.duty("found", n.found)
 	}
 	n.serve("admin", func() error { return n.adminSrv.Serve(lns.admin) })
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -59,11 +59,11 @@
 	// StopNotice is how long a stopping node still takes requests of callers,
 	// who hear late that it stops.
 	StopNotice Duration `toml:"stop_notice"`
-	// Found makes this node form the replica groups by itself when it is the
+	// FormGroups makes this node form the replica groups by itself when it is the
 	// first of Bootstrap and its data folder is new. It must be set on the
 	// first start of a whole fleet only: a replica that lost its disk must
 	// not form a second group.
-	Found bool `toml:"found"`
+	FormGroups bool `toml:"found"`
 	// MinVoters is how many replicas with a vote a group must have before it
 	// takes commands.
 	MinVoters int `toml:"min_voters"`
