--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -149,7 +149,7 @@
 	v := n.view.Load()
 	s := Status{
 		ID: n.id, Name: n.opt.Name, Domain: n.opt.Domain, UptimeMs: n.clock().Milliseconds(),
-		Config: n.conf.Load().version, Heard: n.gossip.highest.Load(), LateMs: n.news.last().Milliseconds(), Replicas: len(v.replicas), Lost: n.gossip.lost(), Backend: n.backendStatus(), State: nodeChart.Text(n.life.get()),
+		Config: n.conf.Load().version, Heard: n.gossip.highest.Load(), LateMs: n.news.last().Milliseconds(), Replicas: len(v.replicas), Lost: n.gossip.lost(), Backend: n.backendStatus(), State: nodeChart.Text(n.state.load()),
 		Members: len(v.members) + 1, InFlight: n.stats.inflight.Load(), Served: n.stats.served.Load(), Calls: n.stats.calls.Load(),
 		Retries: n.stats.retries.Load(), Refusals: n.stats.bySlug(), Cut: n.stats.cut.Load(),
 		Silent: n.peers.silent(), Domains: map[string]bool{}, Replica: n.replicas.status(), Dropped: n.dropped(),
@@ -260,8 +260,8 @@
 	Sheds   map[string]int64 `json:"refusals"`
 	// Service and Overload tell when the backend server beside the node was
 	// last overloaded.
-	Service  string    `json:"service,omitempty"`
-	Overload *overload `json:"overload,omitempty"`
+	Service  string          `json:"service,omitempty"`
+	Overload *overloadPeriod `json:"overload,omitempty"`
 }
 
 // BurnKind is one request kind's book with its objective.
@@ -272,7 +272,7 @@
 }
 
 func (n *Node) serveBurn(w http.ResponseWriter, _ *http.Request) {
-	out := BurnReport{Node: n.opt.Name, Domain: n.opt.Domain, Retries: n.stats.retries.Load(), Domains: map[string]bool{}, Sheds: n.stats.bySlug(), Service: n.meta().Service, Overload: n.overload.Load()}
+	out := BurnReport{Node: n.opt.Name, Domain: n.opt.Domain, Retries: n.stats.retries.Load(), Domains: map[string]bool{}, Sheds: n.stats.bySlug(), Service: n.meta().Service, Overload: n.lastOverload.Load()}
 	tree := n.conf.Load().tree
 	for _, k := range n.burn.Kinds(time.Now()) {
 		p := tree.Policy(k.Root)
@@ -346,7 +346,7 @@
 		ID: req.ID, Base: req.Base, Patch: settings.Patch{Set: req.Set, Remove: req.Remove},
 		Author: req.Author, Note: req.Note, AtMs: time.Now().UnixMilli(),
 	}
-	b, ferr := n.submit(configGroup, encode(&c), changeTimeout)
+	b, ferr := n.submitCommand(configGroup, encodeMsgpack(&c), changeTimeout)
 	if ferr != nil {
 		writeRefusal(w, req.ID, ferr)
 		return
@@ -385,7 +385,7 @@
 		writeRefusal(w, "", fault.From(err))
 		return
 	}
-	n.event("replica", "Formed the replica groups.")
+	n.logEvent("replica", "Formed the replica groups.")
 	writeJSON(w, n.replicas.status())
 }
 
@@ -395,17 +395,17 @@
 	if on {
 		e = drain
 	}
-	if !n.life.happen(nodeChart, e) {
-		writeRefusal(w, "", fault.New(fault.Conflict, "the node is "+nodeChart.Text(n.life.get())))
+	if !n.state.applyEvent(nodeChart, e) {
+		writeRefusal(w, "", fault.New(fault.Conflict, "the node is "+nodeChart.Text(n.state.load())))
 		return
 	}
 	n.publishMeta()
-	n.gossip.nudgeLinks()
+	n.gossip.wakeLinks()
 	text := "An operator drains this node."
 	if !on {
 		text = "An operator puts this node back to work."
 	}
-	n.event("node", text)
+	n.logEvent("node", text)
 	writeJSON(w, n.Status())
 }
 
--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -146,7 +146,7 @@
 	if changed {
 		n.applyGate()
 		n.publishMeta()
-		n.event("backend", next.service+" is "+state.String()+" at "+a.Address)
+		n.logEvent("backend", next.service+" is "+state.String()+" at "+a.Address)
 	}
 }
 
@@ -236,7 +236,7 @@
 	}
 	n.localMu.Unlock()
 	if known && !late {
-		n.setLocal(nil, "it withdrew")
+		n.replaceLocal(nil, "it withdrew")
 	}
 }
 
@@ -247,7 +247,7 @@
 )
 
 // setLocal replaces the backend server; nil means that it is gone.
-func (n *Node) setLocal(next *local, why string) {
+func (n *Node) replaceLocal(next *local, why string) {
 	n.localMu.Lock()
 	defer n.localMu.Unlock()
 	old := n.local.Swap(next)
@@ -256,14 +256,14 @@
 	}
 	old.client.Close()
 	n.publishMeta()
-	n.event("backend", old.service+" is gone: "+why)
+	n.logEvent("backend", old.service+" is gone: "+why)
 }
 
 // checkLease ends a lease that was not renewed.
 func (n *Node) checkLease(now time.Time) {
 	be := n.local.Load()
 	if be != nil && now.After(be.expires) {
-		n.setLocal(nil, "its lease ran out")
+		n.replaceLocal(nil, "its lease ran out")
 		n.quarantine.ended(be)
 	}
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -95,7 +95,7 @@
 }
 
 // takeFull puts a whole document in force if it is newer.
-func (n *Node) takeFull(version uint64, entries settings.Entries) {
+func (n *Node) applyDocument(version uint64, entries settings.Entries) {
 	n.confMu.Lock()
 	defer n.confMu.Unlock()
 	cur := n.conf.Load()
@@ -129,7 +129,7 @@
 		return err
 	}
 	if reply.Full != nil {
-		n.takeFull(reply.Version, reply.Full)
+		n.applyDocument(reply.Version, reply.Full)
 		return nil
 	}
 	n.takeChanges(reply.Changes)
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -105,7 +105,7 @@
 	reply.Domain = n.opt.Domain
 	reply.Config = n.conf.Load().version
 	reply.Held = n.quarantine.heldNow()
-	n.gossip.heard(bySync, req.Addr, req.Config)
+	n.gossip.observeVersion(bySync, req.Addr, req.Config)
 	if req.Domain != n.opt.Domain {
 		reply.Seeds = n.control.askers.others(req.Domain, req.Addr, n.view.Load().domains[req.Domain].Control)
 		return nil
@@ -142,7 +142,7 @@
 	reply.Known, reply.Domains = n.domainsFor(req.Known)
 	n.learnDomains(req.Domains)
 	n.takeExchange(req.Domain, req.Control, req.Records)
-	n.gossip.heard(byExchange, req.Addr, req.Config)
+	n.gossip.observeVersion(byExchange, req.Addr, req.Config)
 	return nil
 }
 
--- a/internal/node/document.go
+++ b/internal/node/document.go
@@ -53,7 +53,7 @@
 			ID: r.ID, Base: conf.version, Patch: r.patch(conf.raw), Author: r.Author,
 			AtMs: time.Now().UnixMilli(), Revision: r.Revision, BaseRevision: r.Base,
 		}
-		b, ferr := n.submit(configGroup, encode(&change), time.Until(deadline))
+		b, ferr := n.submitCommand(configGroup, encodeMsgpack(&change), time.Until(deadline))
 		if ferr != nil {
 			if maybe && ferr.Run == fault.RunNo {
 				ferr.Run = fault.RunUnknown
@@ -76,7 +76,7 @@
 func (n *Node) awaitVersion(version uint64, deadline time.Time) {
 	const look = 5 * time.Millisecond
 	if addr := n.replicas.leaderAddr(configGroup); addr != "" && addr != n.opt.AdvertiseControl {
-		n.gossip.heard(byAnswer, addr, version)
+		n.gossip.observeVersion(byAnswer, addr, version)
 	}
 	for n.conf.Load().version < version && time.Now().Before(deadline) {
 		time.Sleep(look)
@@ -104,7 +104,7 @@
 	for {
 		err := n.replicas.form()
 		if err == nil || fault.CodeOf(err) == fault.Conflict {
-			n.event("replica", "Formed the replica groups, the first start of the fleet.")
+			n.logEvent("replica", "Formed the replica groups, the first start of the fleet.")
 			return
 		}
 		n.warn("replica", "Cannot form the replica groups.", "err", err)
--- a/internal/node/edge.go
+++ b/internal/node/edge.go
@@ -110,7 +110,7 @@
 	if id == "" {
 		return nil
 	}
-	v, ok := n.works.Load(id)
+	v, ok := n.executionsByToken.Load(id)
 	if !ok {
 		return nil
 	}
@@ -120,13 +120,13 @@
 // entryUntil is until when a stopping node still takes requests of callers
 // that have not heard of it.
 func (n *Node) entryUntil() time.Duration {
-	return time.Duration(n.stopAt.Load()) + n.opt.StopNotice.Duration
+	return time.Duration(n.stopStarted.Load()) + n.opt.StopNotice.Duration
 }
 
 // Ready tells whether the node serves callers: it runs, it is not stopping
 // and it knows settings.
 func (n *Node) Ready() bool {
-	return n.life.get() == nodeServing && n.conf.Load().version > 0
+	return n.state.load() == nodeServing && n.conf.Load().version > 0
 }
 
 // edgeRequest makes the request for the backend server: method, path, host
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -240,7 +240,7 @@
 	}
 	n.stats.refused(e.Code)
 	c.detail = e.Detail
-	n.record(c, e.Code, e.Run)
+	n.recordOutcome(c, e.Code, e.Run)
 	if e.Code == fault.Canceled && c.callerLeft.Load() {
 		// Nobody is there to read an answer.
 		panic(http.ErrAbortHandler)
@@ -285,11 +285,11 @@
 	w.WriteHeader(a.status)
 	if err := copyBody(w, a.body); err != nil {
 		n.stats.cut.Add(1)
-		n.record(c, fault.PeerLost, fault.RunUnknown)
+		n.recordOutcome(c, fault.PeerLost, fault.RunUnknown)
 		panic(http.ErrAbortHandler)
 	}
 	n.quarantine.answered(c)
-	n.record(c, fault.None, fault.RunYes)
+	n.recordOutcome(c, fault.None, fault.RunYes)
 }
 
 // copyBuffers are the buffers of answers on their way to callers.
--- a/internal/node/fetch_test.go
+++ b/internal/node/fetch_test.go
@@ -19,10 +19,10 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer func() { _ = mute.Close() }()
 	behindNode, ahead := startNode(t, "a", nil, nil), startNode(t, "a", nil, nil)
-	ahead.takeFull(7, settings.Entries{"#deadline": "4s"})
+	ahead.applyDocument(7, settings.Entries{"#deadline": "4s"})
 	began := time.Now()
-	behindNode.gossip.heard(byPacket, mute.Addr().String(), 7)
-	behindNode.gossip.heard(byPacket, ahead.opt.Control, 7)
+	behindNode.gossip.observeVersion(byPacket, mute.Addr().String(), 7)
+	behindNode.gossip.observeVersion(byPacket, ahead.opt.Control, 7)
 	g.Eventually(func() uint64 { return behindNode.conf.Load().version }, 5*time.Second, 5*time.Millisecond).Should(gomega.Equal(uint64(7)))
 	g.Expect(time.Since(began)).To(gomega.BeNumerically("<", time.Second))
 }
@@ -40,7 +40,7 @@
 func TestComparingRecordsTellsBothSides(t *testing.T) {
 	g := gomega.NewWithT(t)
 	old, ahead := startNode(t, "a", nil, nil), startNode(t, "b", nil, nil)
-	ahead.takeFull(7, settings.Entries{"#deadline": "4s"})
+	ahead.applyDocument(7, settings.Entries{"#deadline": "4s"})
 	var reply control.SyncReply
 	req := &control.SyncRequest{Addr: ahead.opt.Control, Domain: "b", Config: 7}
 	g.Expect((&controlAPI{old.Node}).Sync(req, &reply)).To(gomega.Succeed())
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -42,7 +42,7 @@
 		return nil, ferr
 	}
 	if c.depth > 0 {
-		waits, ok := n.takeWait(c)
+		waits, ok := n.acquireBulkhead(c)
 		if !ok {
 			return nil, c.refusal(fault.ShareSpent, "too many requests here wait on this service", rank.Count/4)
 		}
@@ -50,7 +50,7 @@
 		defer c.parent.finished.Add(1)
 	}
 	n.stats.calls.Add(1)
-	retries, limits := n.retries(c.service), retryLimits(c.policy)
+	retries, limits := n.retryThrottle(c.service), retryLimits(c.policy)
 	if c.repeat {
 		retries.Repeat(n.clock(), limits)
 	} else {
@@ -144,7 +144,7 @@
 	if c.depth > 0 {
 		return 0
 	}
-	return n.entered.Level(c.root, n.clock())
+	return n.entryLevels.Level(c.root, n.clock())
 }
 
 // badAnswer tells whether a backend server's answer is a failure that another
@@ -159,15 +159,15 @@
 // pathsOf returns where the levels that the call's answers report belong.
 func (n *Node) pathsOf(c *call) *pathlevel.Table {
 	if c.depth > 0 {
-		return &n.nested
+		return &n.nestedLevels
 	}
-	return &n.entered
+	return &n.entryLevels
 }
 
 // levelBelow is the highest of own, the level of the backend server beside this
 // node, and those that requests of the call's root kind reach through it.
 func (n *Node) levelBelow(c *call, own rank.Level) rank.Level {
-	return max(own, n.nested.Level(c.root, n.clock()))
+	return max(own, n.nestedLevels.Level(c.root, n.clock()))
 }
 
 // baselineRetries is how often each hop retries under the baseline policies.
@@ -326,7 +326,7 @@
 func (n *Node) sendTo(c *call, in *route.Instance, now time.Duration) (*answer, *fault.Error) {
 	lease := c.pool.Lease()
 	req := &wire.Request{
-		Attempt: n.attempts.Add(1), ID: c.id, Root: c.root, Target: c.target,
+		Attempt: n.lastAttemptID.Add(1), ID: c.id, Root: c.root, Target: c.target,
 		Remaining: c.scope.Remaining(), Rank: c.rank, Depth: c.depth, Lease: uint8(lease),
 		Repeat: c.repeat || c.attempts-c.free > 1, Content: uint64(c.marks.Content), Caller: uint64(c.marks.Caller),
 		Method: c.method, Path: c.path, BodyLen: c.bodyLen, Header: c.header,
@@ -341,7 +341,7 @@
 		}
 		in.Seen.End(n.clock(), report, n.eject(c))
 		if instanceFailed(nil, ferr) {
-			n.noteFailure(in, ferr)
+			n.reportEjection(in, ferr)
 		}
 		if ferr.Code == fault.PeerSilent || ferr.Code == fault.PeerLost && ferr.Run == fault.RunNo {
 			n.peers.lose(in.Addr, in.Seen)
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -162,7 +162,7 @@
 		if err != nil {
 			continue
 		}
-		g.heard(byPacket, g.addrOf(p.From), p.Config)
+		g.observeVersion(byPacket, g.addrOf(p.From), p.Config)
 		// A full ring drops the packet, like the network may.
 		g.packets.Offer(datagram{addr.String(), p})
 	}
@@ -189,7 +189,7 @@
 }
 
 // heard notes that the node at addr has a version of the settings.
-func (g *gossiper) heard(way newsWay, addr string, version uint64) {
+func (g *gossiper) observeVersion(way newsWay, addr string, version uint64) {
 	g.noteHighest(version)
 	inForce := g.n.conf.Load().version
 	g.n.news.heard(g.n.clock(), version, inForce, way, addr)
@@ -255,10 +255,10 @@
 func (g *gossiper) configChanged(version uint64) {
 	g.noteHighest(version)
 	go g.post(func() { g.core.Nudge(nudges) })
-	g.nudgeLinks()
+	g.wakeLinks()
 }
 
-func (g *gossiper) nudgeLinks() {
+func (g *gossiper) wakeLinks() {
 	select {
 	case g.linkNow <- struct{}{}:
 	default:
@@ -271,7 +271,7 @@
 		g.core.Nudge(2 * nudges)
 		g.stale = true
 	})
-	g.nudgeLinks()
+	g.wakeLinks()
 }
 
 func (g *gossiper) close() {
@@ -333,7 +333,7 @@
 		return discovery.Answer{}, err
 	}
 	answer := discovery.Answer{Domain: reply.Domain, Seeds: reply.Seeds}
-	g.heard(bySync, t.Addr, reply.Config)
+	g.observeVersion(bySync, t.Addr, reply.Config)
 	if g.young() {
 		g.n.quarantine.adopt(reply.Held)
 	}
@@ -397,7 +397,7 @@
 		m.Service, m.Slots, m.Weight, m.State, m.Start = be.service, be.slots, be.weight, be.state, be.start
 	}
 	m.Ended, m.Answered = n.quarantine.own()
-	if n.leaving() && m.State == member.Serving {
+	if n.rejectsNewWork() && m.State == member.Serving {
 		m.State = member.Draining
 	}
 	return m
--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -35,20 +35,20 @@
 // group is one replica of one group: the duty that owns a raft core and its state
 // machine. Its folder is its writer's.
 type group struct {
-	id      int
-	r       *replicas
-	core    *raft.Core
-	writer  *logWriter
-	sm      stateMachine
-	inbox   *ring.Ring[func()]
-	waiters map[uint64]waiter
-	reads   map[uint64]chan raft.Read
-	waiting []raft.Read
-	readID  uint64
-	ticks   int
-	role    raft.Role
-	life    chart.State
-	failed  bool
+	id       int
+	replicas *replicas
+	core     *raft.Core
+	writer   *logWriter
+	sm       stateMachine
+	inbox    *ring.Ring[func()]
+	waiters  map[uint64]waiter
+	reads    map[uint64]chan raft.Read
+	waiting  []raft.Read
+	readID   uint64
+	ticks    int
+	role     raft.Role
+	life     chart.State
+	failed   bool
 	// compacting tells whether a compaction is being written.
 	compacting bool
 	// stall is what is known of disks that do not answer.
@@ -78,7 +78,7 @@
 
 func openGroup(r *replicas, id int, w *logWriter, l wal.Loaded, m stateMachine) (*group, error) {
 	g := &group{
-		id: id, r: r, writer: w, sm: m, inbox: ring.New[func()](inboxSize),
+		id: id, replicas: r, writer: w, sm: m, inbox: ring.New[func()](inboxSize),
 		waiters: map[uint64]waiter{}, reads: map[uint64]chan raft.Read{},
 	}
 	g.core = raft.New(raft.Options{
@@ -99,13 +99,13 @@
 	g.note()
 	for {
 		select {
-		case <-g.r.n.stop:
+		case <-g.replicas.node.stop:
 			return
 		case f := <-g.inbox.C():
 			f()
 			g.drain()
 		case w := <-g.writer.written.C():
-			g.finish(w)
+			g.completeWrite(w)
 		case <-t.C:
 			g.tick()
 		}
@@ -162,7 +162,7 @@
 		took := time.Since(g.exposedSince)
 		g.exposedSince = time.Time{}
 		g.repairTook.Store(int64(took))
-		g.r.n.event("replica", "Group "+formatUint(uint64(g.id))+": it bears a loss again after "+took.Round(time.Millisecond).String()+".")
+		g.replicas.node.logEvent("replica", "Group "+formatUint(uint64(g.id))+": it bears a loss again after "+took.Round(time.Millisecond).String()+".")
 	}
 	g.bears.Store(bears)
 }
@@ -174,7 +174,7 @@
 		if rd.Empty() {
 			break
 		}
-		g.r.send(g, rd.Early)
+		g.replicas.send(g, rd.Early)
 		if rd.Snapshot != nil {
 			if err := g.sm.restore(rd.Snapshot.Data); err != nil {
 				g.fail(err)
@@ -184,7 +184,7 @@
 		if rd.MustSave() {
 			g.writer.jobs.Offer(writeJob{ready: rd})
 		} else {
-			g.r.send(g, rd.Messages)
+			g.replicas.send(g, rd.Messages)
 		}
 		for i := range rd.Committed {
 			g.apply(&rd.Committed[i])
@@ -196,7 +196,7 @@
 }
 
 // finish takes in that the writer ended a job: what waited for it is sent.
-func (g *group) finish(w written) {
+func (g *group) completeWrite(w written) {
 	switch {
 	case g.failed:
 	case w.err != nil:
@@ -205,7 +205,7 @@
 		g.compacting = false
 	default:
 		g.core.Advance(w.job.ready)
-		g.r.send(g, w.job.ready.Messages)
+		g.replicas.send(g, w.job.ready.Messages)
 	}
 }
 
@@ -215,7 +215,7 @@
 	g.failed = true
 	g.happen(diskFailed)
 	g.leads.Store(false)
-	g.r.n.event("replica", "Stopped, its disk failed: "+err.Error())
+	g.replicas.node.logEvent("replica", "Stopped, its disk failed: "+err.Error())
 }
 
 func (g *group) apply(e *raft.Entry) {
@@ -258,11 +258,11 @@
 	g.leads.Store(g.core.Role() == raft.Leader)
 	conf := g.core.Conf()
 	g.conf.Store(&conf)
-	addr := g.r.addrOf(conf, g.core.Leader())
+	addr := g.replicas.addrOf(conf, g.core.Leader())
 	g.leaderAddr.Store(&addr)
 	if role := g.core.Role(); role != g.role {
 		if role == raft.Leader || g.role == raft.Leader {
-			g.r.n.event("replica", "Group "+formatUint(uint64(g.id))+": this replica is "+role.String()+" in term "+formatUint(g.core.Term())+".")
+			g.replicas.node.logEvent("replica", "Group "+formatUint(uint64(g.id))+": this replica is "+role.String()+" in term "+formatUint(g.core.Term())+".")
 		}
 		g.changeRole(role)
 	}
@@ -283,7 +283,7 @@
 func (g *group) happen(e chart.Event) {
 	next, ok := replicaChart.Next(g.life, e)
 	if !ok {
-		g.r.n.warn("replica", "A change of role is not in the chart.", "state", replicaChart.Text(g.life))
+		g.replicas.node.warn("replica", "A change of role is not in the chart.", "state", replicaChart.Text(g.life))
 		return
 	}
 	g.life = next
@@ -300,7 +300,7 @@
 	}
 	data, err := g.sm.snapshot()
 	if err != nil {
-		g.r.n.warn("replica", "Cannot make a snapshot.", "err", err)
+		g.replicas.node.warn("replica", "Cannot make a snapshot.", "err", err)
 		return
 	}
 	snap, ok := g.core.Compact(g.core.Applied(), data)
@@ -325,11 +325,11 @@
 			health[p.ID] = repair.Health{Silent: time.Duration(ticks) * raftTick, Lag: lag}
 		}
 	}
-	return repair.Group{Conf: conf, Self: g.r.id, Health: health, Candidates: g.r.verified()}
+	return repair.Group{Conf: conf, Self: g.replicas.id, Health: health, Candidates: g.replicas.verified()}
 }
 
 func (g *group) repairOptions() repair.Options {
-	o := &g.r.n.opt
+	o := &g.replicas.node.opt
 	return repair.Options{
 		Target: o.Replicas, SuspectAfter: o.SuspectAfter.Duration, ReplaceAfter: o.ReplaceAfter.Duration, MaxLag: caughtUp,
 	}
@@ -347,7 +347,7 @@
 	if err := g.core.ProposeConf(plan.Conf); err != nil {
 		return
 	}
-	g.r.n.event("replica", "Group "+formatUint(uint64(g.id))+": "+plan.Reason+".")
+	g.replicas.node.logEvent("replica", "Group "+formatUint(uint64(g.id))+": "+plan.Reason+".")
 }
 
 // post hands f to the group's goroutine; false if it is too far behind.
@@ -366,8 +366,8 @@
 			started <- start{err: fault.New(fault.NotLeader, "this replica does not lead")}
 			return
 		}
-		if voters := len(g.core.Conf().Voters); voters < g.r.n.opt.MinVoters {
-			started <- start{err: fault.Newf(fault.NoQuorum, "the group has %d of %d replicas", voters, g.r.n.opt.MinVoters)}
+		if voters := len(g.core.Conf().Voters); voters < g.replicas.node.opt.MinVoters {
+			started <- start{err: fault.Newf(fault.NoQuorum, "the group has %d of %d replicas", voters, g.replicas.node.opt.MinVoters)}
 			return
 		}
 		if g.stall.quorum {
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	for _, n := range nodes {
-		n.takeFull(n.conf.Load().version+1, tree.Entries())
+		n.applyDocument(n.conf.Load().version+1, tree.Entries())
 	}
 }
 
--- a/internal/node/life.go
+++ b/internal/node/life.go
@@ -53,16 +53,16 @@
 
 // progress is how far a request came beside its backend server. What a
 // refusal claims of its execution follows from the state that it ended in.
-type progress struct{ state chart.State }
+type requestProgress struct{ state chart.State }
 
-func (p *progress) happen(e chart.Event) {
+func (p *requestProgress) applyEvent(e chart.Event) {
 	if next, ok := requestChart.Next(p.state, e); ok {
 		p.state = next
 	}
 }
 
 // run returns what is known of the execution.
-func (p *progress) run() fault.Run {
+func (p *requestProgress) execution() fault.Run {
 	switch p.state {
 	case requestRefused:
 		return fault.RunNo
@@ -74,14 +74,14 @@
 }
 
 // life is the state of a chart that several goroutines look at.
-type life struct{ state atomic.Uint32 }
+type atomicState struct{ state atomic.Uint32 }
 
-func (l *life) get() chart.State { return chart.State(l.state.Load()) }
+func (l *atomicState) load() chart.State { return chart.State(l.state.Load()) }
 
 // happen takes an event in; false if it changes nothing in the present state.
-func (l *life) happen(c *chart.Chart, e chart.Event) bool {
+func (l *atomicState) applyEvent(c *chart.Chart, e chart.Event) bool {
 	for {
-		old := l.get()
+		old := l.load()
 		next, ok := c.Next(old, e)
 		if !ok {
 			return false
@@ -94,14 +94,14 @@
 
 // stopping tells whether the node is on its way out.
 func (n *Node) stopping() bool {
-	s := n.life.get()
+	s := n.state.load()
 	return s == nodeLeaving || s == nodeStopped
 }
 
 // leaving tells whether the backend server gets no new work from this node. A
 // node that stops goes on taking it while callers hear of the stop.
-func (n *Node) leaving() bool {
-	switch n.life.get() {
+func (n *Node) rejectsNewWork() bool {
+	switch n.state.load() {
 	case nodeServing:
 		return false
 	case nodeLeaving:
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -121,7 +121,7 @@
 	l.Met(domain, addr, &reply)
 	n.learnDomains(reply.Domains)
 	n.takeExchange(domain, reply.Control, reply.Records)
-	n.gossip.heard(byExchange, addr, reply.Config)
+	n.gossip.observeVersion(byExchange, addr, reply.Config)
 }
 
 // takeExchange spreads within this domain what another told of itself.
@@ -176,7 +176,7 @@
 // summaries returns what this domain tells the others about its services.
 func (n *Node) summaries() []member.Summary {
 	byService := map[string][]member.Remote{}
-	if be := n.local.Load(); be != nil && be.state == member.Serving && !n.leaving() {
+	if be := n.local.Load(); be != nil && be.state == member.Serving && !n.rejectsNewWork() {
 		byService[be.service] = append(byService[be.service], member.Remote{ID: n.id, Addr: n.opt.AdvertiseData, Slots: be.slots, Weight: be.weight, Start: be.start})
 	}
 	if id := n.replicas.identity(); id != "" {
--- a/internal/node/links_test.go
+++ b/internal/node/links_test.go
@@ -19,7 +19,7 @@
 	a.control.links.Meet("silent", silentServer(t))
 	g.Eventually(a.gossip.young, 20*time.Second, 10*time.Millisecond).Should(gomega.BeFalse())
 	for version := range uint64(20) {
-		a.takeFull(version+1, settings.Entries{"#deadline": formatUint(version+1) + "s"})
+		a.applyDocument(version+1, settings.Entries{"#deadline": formatUint(version+1) + "s"})
 		changed := time.Now()
 		b.hasVersion(version + 1)
 		g.Expect(time.Since(changed)).To(gomega.BeNumerically("<", linkTimeout/2), "version %d", version+1)
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -48,36 +48,36 @@
 	if ferr != nil {
 		return nil, ferr
 	}
-	var p progress
+	var p requestProgress
 	kind := n.kinds.index(c.target)
 	code := n.gate.enter(c.scope, admission.Request{
 		Rank: c.rank, Depth: c.depth, Kind: kind, Deadline: n.clock() + c.scope.Remaining(),
-		Busy: n.nested.Level(c.root, n.clock()) > 0,
+		Busy: n.nestedLevels.Level(c.root, n.clock()) > 0,
 	})
 	if code != fault.None {
-		p.happen(requestRefuse)
+		p.applyEvent(requestRefuse)
 		l := n.gate.load()
 		e := c.refusal(code, "refused beside the backend server", l.level)
-		e.Run = p.run()
+		e.Run = p.execution()
 		return nil, e
 	}
-	p.happen(requestAdmit)
+	p.applyEvent(requestAdmit)
 	if ferr := n.quarantine.refusal(c); ferr != nil {
 		n.gate.leave(admission.Outcome{})
-		p.happen(requestExpire)
-		ferr.Run = p.run()
+		p.applyEvent(requestExpire)
+		ferr.Run = p.execution()
 		return nil, ferr
 	}
 	// The process may have been frozen since the request was admitted.
 	if code := c.scope.Err(); code != fault.None {
 		n.gate.leave(admission.Outcome{})
-		p.happen(requestExpire)
-		return nil, &fault.Error{Code: code, Run: p.run(), Detail: "given up before it was run"}
+		p.applyEvent(requestExpire)
+		return nil, &fault.Error{Code: code, Run: p.execution(), Detail: "given up before it was run"}
 	}
 	w := &work{token: n.tokenFor(c), call: c, start: be.start, scope: c.scope.Child(c.scope.Deadline())}
-	n.works.Store(w.token, w)
+	n.executionsByToken.Store(w.token, w)
 	started := time.Now()
-	p.happen(requestSend)
+	p.applyEvent(requestSend)
 	req, mine := n.requestFor(be, c, w, pool)
 	resp, err := be.client.Do(w.scope, backend.Traits{Kind: kind, Idempotent: c.policy.Idempotent}, req, mine.check)
 	if err == nil && mine.judged.NotRun != fault.None {
@@ -92,16 +92,16 @@
 		}
 		n.gate.leave(out)
 		if ferr.Run == fault.RunNo {
-			p.happen(requestNotSent)
+			p.applyEvent(requestNotSent)
 		} else {
-			p.happen(requestLose)
+			p.applyEvent(requestLose)
 		}
-		ferr.Run = p.run()
+		ferr.Run = p.execution()
 		n.noteBroken(be, c, ferr)
 		n.backendFailed(be, ferr)
 		return nil, ferr
 	}
-	p.happen(requestAnswer)
+	p.applyEvent(requestAnswer)
 	pushback := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests
 	pushback = pushback && resp.Header.Get(HeaderRun) == ""
 	took := time.Since(started)
@@ -184,17 +184,17 @@
 const rejectionMax = 4 << 10
 
 // rejected ends a request that the backend server certainly did not run.
-func (n *Node) rejected(be *local, c *call, w *work, p *progress, resp *backend.Response, code fault.Code) *fault.Error {
+func (n *Node) rejected(be *local, c *call, w *work, p *requestProgress, resp *backend.Response, code fault.Code) *fault.Error {
 	_, _ = io.CopyN(io.Discard, resp, rejectionMax)
 	resp.Close()
 	n.endWork(w)
 	n.gate.leave(admission.Outcome{Pushback: code == fault.Rejected})
-	p.happen(requestNotSent)
+	p.applyEvent(requestNotSent)
 	if code == fault.NoBackend && n.local.Load() == be {
-		n.setLocal(nil, "another stands at its address")
+		n.replaceLocal(nil, "another stands at its address")
 	}
 	e := c.refusal(code, "rejected by the backend server", 0)
-	e.Run = p.run()
+	e.Run = p.execution()
 	return e
 }
 
@@ -211,7 +211,7 @@
 }
 
 func (n *Node) endWork(w *work) {
-	n.works.Delete(w.token)
+	n.executionsByToken.Delete(w.token)
 	w.scope.Cancel(fault.Canceled)
 	w.scope.Close()
 }
@@ -223,7 +223,7 @@
 		return nil, c.refusal(fault.NoBackend, "no backend server of "+c.service+" stands beside this node", 0)
 	}
 	switch {
-	case n.leaving() || be.state == member.Draining:
+	case n.rejectsNewWork() || be.state == member.Draining:
 		return nil, c.refusal(fault.Draining, "the backend server is leaving", 0)
 	case be.state == member.Starting:
 		return nil, c.refusal(fault.Starting, "the backend server is starting", 0)
@@ -258,7 +258,7 @@
 		return
 	}
 	if !be.client.Reachable() && n.local.Load() == be {
-		n.setLocal(nil, "it no longer takes connections")
+		n.replaceLocal(nil, "it no longer takes connections")
 		n.quarantine.ended(be)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -54,24 +54,24 @@
 	// the calls that the backend server beside this node makes. They must be
 	// apart: what is reported to the nodes above is only what lies below, or
 	// two nodes would go on telling each other of an overload that is over.
-	entered, nested pathlevel.Table
-	peers           peers
-	kinds           kindTable
-	retryShares     sync.Map // service -> *budget.Share
-	waits           sync.Map // called service -> *admission.Waits
-
-	gate    *gate
-	local   atomic.Pointer[local]
-	localMu sync.Mutex
-	works   sync.Map // token -> *work
-	tokens  atomic.Uint64
-
-	attempts atomic.Uint64
-	life     life
+	entryLevels, nestedLevels pathlevel.Table
+	peers                     peers
+	kinds                     kindTable
+	retryShares               sync.Map // service -> *budget.Share
+	waits                     sync.Map // called service -> *admission.Waits
+
+	gate              *gate
+	local             atomic.Pointer[local]
+	localMu           sync.Mutex
+	executionsByToken sync.Map // token -> *work
+	tokens            atomic.Uint64
+
+	lastAttemptID atomic.Uint64
+	state         atomicState
 	// seeds are control addresses of some nodes, from the settings.
 	seeds atomic.Pointer[[]string]
 	// stopAt is when the node began to stop, on its clock.
-	stopAt atomic.Int64
+	stopStarted atomic.Int64
 	// withdrawn is set once a stopping node has told others that it leaves.
 	withdrawn atomic.Bool
 	// retired are the identities of backend servers that stood here before,
@@ -85,11 +85,11 @@
 	stats      stats
 	latencies  latency.Table
 	// requestLog bounds the lines about requests.
-	requestLog requestLog
-	overload   atomic.Pointer[overload]
-	traces     *last[Trace]
-	events     *last[Event]
-	burn       *burn.Book
+	requestLog   requestLog
+	lastOverload atomic.Pointer[overloadPeriod]
+	traces       *last[Trace]
+	events       *last[Event]
+	burn         *burn.Book
 
 	gossip   *gossiper
 	replicas *replicas
@@ -184,7 +184,7 @@
 	}
 	n.serve("admin", func() error { return n.adminSrv.Serve(lns.admin) })
 	n.awaitConfig()
-	n.life.happen(nodeChart, configured)
+	n.state.applyEvent(nodeChart, configured)
 	n.publishMeta()
 	n.serve("data", func() error { return n.wireSrv.Serve(lns.data) })
 	arrivals := callers.Listen(lns.http)
@@ -277,7 +277,7 @@
 }
 
 // overload is when the backend server beside the node was last overloaded.
-type overload struct {
+type overloadPeriod struct {
 	Began time.Time `json:"began"`
 	// Ended is the zero time while the overload lasts.
 	Ended time.Time `json:"ended"`
@@ -286,15 +286,15 @@
 // watchLevel notes when the admission level leaves 0 and returns to it.
 func (n *Node) watchLevel(now time.Time) {
 	l := n.gate.load().level
-	last := n.overload.Load()
+	last := n.lastOverload.Load()
 	on := last != nil && last.Ended.IsZero()
 	switch {
 	case l > 0 && !on:
-		n.overload.Store(&overload{Began: now})
-		n.event("admission", "The backend server is overloaded, level "+formatUint(uint64(l))+".")
+		n.lastOverload.Store(&overloadPeriod{Began: now})
+		n.logEvent("admission", "The backend server is overloaded, level "+formatUint(uint64(l))+".")
 	case l == 0 && on:
-		n.overload.Store(&overload{last.Began, now})
-		n.event("admission", "The overload is over after "+now.Sub(last.Began).Round(time.Millisecond).String()+".")
+		n.lastOverload.Store(&overloadPeriod{last.Began, now})
+		n.logEvent("admission", "The overload is over after "+now.Sub(last.Began).Round(time.Millisecond).String()+".")
 	}
 }
 
@@ -306,10 +306,10 @@
 // work, and finishes what is in flight, for at most StopTimeout. It reports
 // whether all was finished.
 func (n *Node) Stop() bool {
-	if !n.life.happen(nodeChart, stopEvent) {
+	if !n.state.applyEvent(nodeChart, stopEvent) {
 		return true
 	}
-	n.stopAt.Store(int64(n.clock()))
+	n.stopStarted.Store(int64(n.clock()))
 	n.info("node", "Leaving.")
 	deadline := time.Now().Add(n.opt.StopTimeout.Duration)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
@@ -322,9 +322,9 @@
 	time.Sleep(min(drainNotice, most))
 	done := n.awaitIdle(deadline)
 	if done {
-		n.life.happen(nodeChart, idle)
+		n.state.applyEvent(nodeChart, idle)
 	} else {
-		n.life.happen(nodeChart, timedOut)
+		n.state.applyEvent(nodeChart, timedOut)
 	}
 	if err := n.httpSrv.Shutdown(ctx); err != nil {
 		done = false
@@ -424,7 +424,7 @@
 }
 
 // event logs a decision of note and keeps it for umberctl events.
-func (n *Node) event(part, text string) {
+func (n *Node) logEvent(part, text string) {
 	n.info(part, text)
 	n.remember(part, text)
 }
@@ -439,7 +439,7 @@
 
 // record traces a request that has its answer, and books it on the
 // objective of its kind if it entered here.
-func (n *Node) record(c *call, code fault.Code, run fault.Run) {
+func (n *Node) recordOutcome(c *call, code fault.Code, run fault.Run) {
 	took := time.Since(c.started)
 	n.latencies.Observe(c.rank.Class().String(), code.String(), took)
 	if c.depth == 0 {
@@ -452,13 +452,13 @@
 	}
 	n.traces.add(Trace{
 		Time: time.Now(), RequestID: c.id, Target: c.target, Root: c.root, Rank: uint16(c.rank), Depth: c.depth,
-		Attempts: c.attempts, Spent: c.pool.Spent(), Level: uint16(n.entered.Level(c.root, n.clock())),
+		Attempts: c.attempts, Spent: c.pool.Spent(), Level: uint16(n.entryLevels.Level(c.root, n.clock())),
 		Reason: code.String(), Run: run.String(), TookUs: took.Microseconds(),
 	})
 }
 
 // retries returns the share of retries of a service.
-func (n *Node) retries(service string) *budget.Share {
+func (n *Node) retryThrottle(service string) *budget.Share {
 	if v, ok := n.retryShares.Load(service); ok {
 		return v.(*budget.Share)
 	}
@@ -468,7 +468,7 @@
 
 // takeWait counts a nested call against the share of this node's slots that may wait
 // on one called service.
-func (n *Node) takeWait(c *call) (*admission.Waits, bool) {
+func (n *Node) acquireBulkhead(c *call) (*admission.Waits, bool) {
 	v, ok := n.waits.Load(c.service)
 	if !ok {
 		v, _ = n.waits.LoadOrStore(c.service, &admission.Waits{})
@@ -483,8 +483,8 @@
 }
 
 // noteFailure tells about an instance that this node could not reach.
-func (n *Node) noteFailure(in *route.Instance, e *fault.Error) {
+func (n *Node) reportEjection(in *route.Instance, e *fault.Error) {
 	if in.Seen.JustEjected() {
-		n.event("route", "Ejected "+in.ID+" at "+in.Addr+" after "+e.Code.String()+".")
+		n.logEvent("route", "Ejected "+in.ID+" at "+in.Addr+" after "+e.Code.String()+".")
 	}
 }
--- a/internal/node/once.go
+++ b/internal/node/once.go
@@ -82,7 +82,7 @@
 
 func (o *once) submit(cmd *claims.Command, wait time.Duration) (claims.Result, *fault.Error) {
 	var res claims.Result
-	b, ferr := o.n.submit(o.n.shardOf(o.key), encode(cmd), wait)
+	b, ferr := o.n.submitCommand(o.n.shardOf(o.key), encodeMsgpack(cmd), wait)
 	if ferr != nil {
 		return res, ferr
 	}
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -153,7 +153,7 @@
 // clear ends the suspicion against a mark. The lock is held.
 func (q *quarantiner) clear(m quarantine.Mark) {
 	if q.table.Answered(m) {
-		q.n.event("quarantine", "Requests like "+q.name(m)+" are served again: one was answered.")
+		q.n.logEvent("quarantine", "Requests like "+q.name(m)+" are served again: one was answered.")
 	}
 }
 
--- a/internal/node/quarantine_ends.go
+++ b/internal/node/quarantine_ends.go
@@ -102,7 +102,7 @@
 			out = append(out, w)
 		}
 	}
-	q.n.works.Range(func(_, v any) bool {
+	q.n.executionsByToken.Range(func(_, v any) bool {
 		if w := v.(*work); w.start == start {
 			out = append(out, inWorkOf(start, w.call))
 		}
--- a/internal/node/quarantine_news.go
+++ b/internal/node/quarantine_news.go
@@ -17,7 +17,7 @@
 	}
 	for _, a := range m.Answered {
 		if q.heardAnswer(a) {
-			q.n.gossip.nudgeLinks()
+			q.n.gossip.wakeLinks()
 		}
 	}
 }
@@ -50,7 +50,7 @@
 	q.lastEnds = append(q.lastEnds, q.n.clock())
 	q.lastEnds = q.lastEnds[max(0, len(q.lastEnds)-massEnds):]
 	q.mu.Unlock()
-	q.n.gossip.nudgeLinks()
+	q.n.gossip.wakeLinks()
 }
 
 // heardRemote takes in what another failure domain tells.
@@ -100,7 +100,7 @@
 	for _, h := range held[:min(len(held), namesSaid)] {
 		names = append(names, q.name(h.Mark))
 	}
-	q.n.event("quarantine", "Requests like "+strings.Join(names, ", ")+" are refused for "+held[0].Left.Round(time.Second).String()+": "+
+	q.n.logEvent("quarantine", "Requests like "+strings.Join(names, ", ")+" are refused for "+held[0].Left.Round(time.Second).String()+": "+
 		strconv.Itoa(held[0].Ends)+" backend servers ended while they ran one. Marks: "+strconv.Itoa(len(held))+".")
 }
 
@@ -158,7 +158,7 @@
 			return
 		}
 		q.n.publishMeta()
-		q.n.gossip.nudgeLinks()
+		q.n.gossip.wakeLinks()
 	})
 }
 
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -33,7 +33,7 @@
 // replicas are the replica groups on this node's disk. A node without a data
 // folder has none.
 type replicas struct {
-	n      *Node
+	node   *Node
 	id     string
 	groups []*group
 
@@ -54,7 +54,7 @@
 // aside, said so, and the replica comes back empty under a new identity, for
 // the old one has made promises that it can no longer keep.
 func openReplicas(n *Node) (*replicas, error) {
-	r := &replicas{n: n, senders: map[string]*ring.Ring[outgoing]{}}
+	r := &replicas{node: n, senders: map[string]*ring.Ring[outgoing]{}}
 	if n.opt.DataFolder == "" {
 		return r, nil
 	}
@@ -62,7 +62,7 @@
 	if fault.CodeOf(err) != fault.Corrupt {
 		return r, err
 	}
-	n.event("replica", "The data folder is damaged and set aside: "+err.Error())
+	n.logEvent("replica", "The data folder is damaged and set aside: "+err.Error())
 	if err := setAside(n.opt.DataFolder); err != nil {
 		return nil, err
 	}
@@ -92,24 +92,24 @@
 }
 
 func (r *replicas) open() error {
-	dir := r.n.opt.DataFolder
+	dir := r.node.opt.DataFolder
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fault.Wrap(fault.Internal, err, "cannot make the data folder")
 	}
 	if err := r.loadIdentity(dir); err != nil {
 		return err
 	}
-	for id := 0; id <= r.n.opt.Shards; id++ {
+	for id := 0; id <= r.node.opt.Shards; id++ {
 		w, loaded, err := wal.Open(filepath.Join(dir, "group-"+strconv.Itoa(id)))
 		if err != nil {
 			return err
 		}
-		if r.n.opt.SyncHold != "" {
-			w.HoldSyncs(r.n.awaitHeldDisk)
+		if r.node.opt.SyncHold != "" {
+			w.HoldSyncs(r.node.awaitHeldDisk)
 		}
 		var m stateMachine = &claimMachine{}
 		if id == configGroup {
-			m = &confMachine{n: r.n}
+			m = &confMachine{n: r.node}
 		}
 		g, err := openGroup(r, id, newLogWriter(r.wrap(w)), loaded, m)
 		if err != nil {
@@ -121,10 +121,10 @@
 }
 
 func (r *replicas) wrap(log replicaLog) replicaLog {
-	if r.n.opt.wrapLog == nil {
+	if r.node.opt.wrapLog == nil {
 		return log
 	}
-	return r.n.opt.wrapLog(log)
+	return r.node.opt.wrapLog(log)
 }
 
 // loadIdentity reads the identity, or makes one for an empty folder. A folder
@@ -160,7 +160,7 @@
 // those of the members, as who stands there now may not have been told of yet.
 func (r *replicas) verifyLoop() {
 	rounds := 0
-	r.n.every(verifySoon, func(time.Time) {
+	r.node.every(verifySoon, func(time.Time) {
 		rounds++
 		if !r.leadsAny() {
 			// Who answered in an earlier lead may be gone in the next: a member
@@ -172,7 +172,7 @@
 		if !due && rounds%int(verifyEvery/verifySoon) != 0 {
 			return
 		}
-		told := r.n.view.Load().replicas
+		told := r.node.view.Load().replicas
 		if due {
 			told = append(told[:len(told):len(told)], r.atAddresses(told)...)
 		}
@@ -194,8 +194,8 @@
 // atAddresses returns the replicas at the addresses from the settings, and at
 // those of the groups' members, that are not among those told of.
 func (r *replicas) atAddresses(told []raft.Peer) []raft.Peer {
-	asked := map[string]bool{r.n.opt.AdvertiseControl: true}
-	addrs := slices.Clone(r.n.bootstrap())
+	asked := map[string]bool{r.node.opt.AdvertiseControl: true}
+	addrs := slices.Clone(r.node.bootstrap())
 	for _, g := range r.groups {
 		if conf := g.conf.Load(); conf != nil {
 			for _, p := range conf.Voters {
@@ -210,7 +210,7 @@
 		}
 		asked[addr] = true
 		var reply control.IdentityReply
-		err := r.n.control.pool.Call(addr, "Identity", &control.Empty{}, &reply, verifySoon)
+		err := r.node.control.pool.Call(addr, "Identity", &control.Empty{}, &reply, verifySoon)
 		p := raft.Peer{ID: reply.ID, Addr: cmp.Or(reply.Addr, addr), Domain: reply.Domain}
 		if err == nil && reply.ID != "" && !slices.Contains(told, p) {
 			out = append(out, p)
@@ -237,7 +237,7 @@
 		go func() {
 			defer wg.Done()
 			var reply control.IdentityReply
-			err := r.n.control.pool.Call(p.Addr, "Identity", &control.Empty{}, &reply, stepTimeout)
+			err := r.node.control.pool.Call(p.Addr, "Identity", &control.Empty{}, &reply, stepTimeout)
 			answers[i] = err == nil && reply.ID == p.ID
 		}()
 	}
@@ -261,11 +261,11 @@
 
 func (r *replicas) start() {
 	if len(r.groups) > 0 {
-		r.n.duty("verify", r.verifyLoop)
+		r.node.duty("verify", r.verifyLoop)
 	}
 	for _, g := range r.groups {
-		r.n.duty("replica", g.run)
-		r.n.duty("log writer", func() { g.writer.run(r.n.stop) })
+		r.node.duty("replica", g.run)
+		r.node.duty("log writer", func() { g.writer.run(r.node.stop) })
 	}
 }
 
@@ -295,7 +295,7 @@
 	if r.formed() {
 		return fault.New(fault.Conflict, "this replica already belongs to a group")
 	}
-	self := raft.Peer{ID: r.id, Addr: r.n.opt.AdvertiseControl, Domain: r.n.opt.Domain}
+	self := raft.Peer{ID: r.id, Addr: r.node.opt.AdvertiseControl, Domain: r.node.opt.Domain}
 	for _, g := range r.groups {
 		done := make(chan error, 1)
 		g.post(func() { done <- g.form(self) })
@@ -316,7 +316,7 @@
 	if err := g.writeNow(&logReset{snap: snap, state: &st}); err != nil {
 		return err
 	}
-	next, err := openGroup(g.r, g.id, g.writer, wal.Loaded{State: st, Snapshot: snap}, g.sm)
+	next, err := openGroup(g.replicas, g.id, g.writer, wal.Loaded{State: st, Snapshot: snap}, g.sm)
 	if err != nil {
 		return err
 	}
@@ -387,7 +387,7 @@
 // candidateAddr finds a replica that this one does not yet know as a member:
 // a learner answers its leader before it has the membership.
 func (r *replicas) candidateAddr(id string) string {
-	for _, p := range append(r.verified(), r.n.view.Load().replicas...) {
+	for _, p := range append(r.verified(), r.node.view.Load().replicas...) {
 		if p.ID == id {
 			return p.Addr
 		}
@@ -402,7 +402,7 @@
 	if s == nil {
 		s = ring.New[outgoing](senderRing)
 		r.senders[addr] = s
-		r.n.duty("sender", func() { r.sendLoop(addr, s) })
+		r.node.duty("sender", func() { r.sendLoop(addr, s) })
 	}
 	return s
 }
@@ -412,7 +412,7 @@
 	for {
 		var first outgoing
 		select {
-		case <-r.n.stop:
+		case <-r.node.stop:
 			return
 		case first = <-s.C():
 		}
@@ -427,7 +427,7 @@
 		}
 		for id, ms := range batches {
 			req := &control.StepRequest{Group: id, Messages: ms}
-			_ = r.n.control.pool.Call(addr, "Step", req, &control.Empty{}, stepTimeout)
+			_ = r.node.control.pool.Call(addr, "Step", req, &control.Empty{}, stepTimeout)
 		}
 	}
 }
--- a/internal/node/reqlog.go
+++ b/internal/node/reqlog.go
@@ -76,7 +76,7 @@
 	kv := []any{
 		"id", c.id, "kind", c.target, "outcome", code.String(), "run", run.String(), "took_ms", took.Milliseconds(),
 		"attempts", c.attempts, "tried", c.trail.String(), "rank", uint16(c.rank), "depth", c.depth,
-		"path_level", uint16(n.entered.Level(c.root, n.clock())), "config_version", n.conf.Load().version,
+		"path_level", uint16(n.entryLevels.Level(c.root, n.clock())), "config_version", n.conf.Load().version,
 	}
 	if c.parent != nil {
 		kv = append(kv, "parent", c.parent.call.id, "parent_kind", c.parent.call.target)
--- a/internal/node/return_test.go
+++ b/internal/node/return_test.go
@@ -65,7 +65,7 @@
 		g.Expect(second.call("f/s/k", "", nil, nil).status).To(gomega.Equal(200))
 		time.Sleep(20 * time.Millisecond)
 	}
-	g.Expect(first.leaving()).To(gomega.BeFalse())
+	g.Expect(first.rejectsNewWork()).To(gomega.BeFalse())
 	startStandin(t, second, "f/s", 4, kinds)
 	g.Eventually(stopped, 8*time.Second).Should(gomega.Receive(gomega.BeTrue()))
 	g.Expect(second.call("f/s/k", "", nil, nil).status).To(gomega.Equal(200))
--- a/internal/node/stall.go
+++ b/internal/node/stall.go
@@ -33,7 +33,7 @@
 	if stalls {
 		text = begins
 	}
-	g.r.n.event("replica", "Group "+formatUint(uint64(g.id))+": "+text+".")
+	g.replicas.node.logEvent("replica", "Group "+formatUint(uint64(g.id))+": "+text+".")
 }
 
 // quorumOfDisks tells whether the disks of a quorum answer a leader.
@@ -41,7 +41,7 @@
 	voters := g.core.Conf().Voters
 	stalled := 0
 	for _, v := range voters {
-		if v.ID == g.r.id && ownStalls || g.core.Unsaved(v.ID) >= stallTicks {
+		if v.ID == g.replicas.id && ownStalls || g.core.Unsaved(v.ID) >= stallTicks {
 			stalled++
 		}
 	}
--- a/internal/node/stall_test.go
+++ b/internal/node/stall_test.go
@@ -62,7 +62,7 @@
 // encodeChange is a change that sets something.
 func encodeChange(id string, base uint64) []byte {
 	c := confstore.Change{ID: id, Base: base, Patch: settings.Patch{Set: settings.Entries{"#deadline": "9s"}}}
-	return encode(&c)
+	return encodeMsgpack(&c)
 }
 
 // startStallable runs three replicas whose disks can stall.
--- a/internal/node/statemachine.go
+++ b/internal/node/statemachine.go
@@ -34,7 +34,7 @@
 		return nil, fault.Wrap(fault.BadRequest, err, "malformed change")
 	}
 	if r, ok := m.store.Known(c.ID); ok {
-		return encode(&r), nil
+		return encodeMsgpack(&r), nil
 	}
 	if c.Base != m.store.Version() {
 		// Apply will refuse it and remember that.
@@ -65,7 +65,7 @@
 		changes, _ := m.store.Since(before)
 		m.n.takeChanges(changes)
 	}
-	return encode(&r)
+	return encodeMsgpack(&r)
 }
 
 func (m *confMachine) snapshot() ([]byte, error) { return m.store.Snapshot() }
@@ -83,7 +83,7 @@
 	if changes, ok := store.Since(m.n.conf.Load().version); ok {
 		m.n.takeChanges(changes)
 	}
-	m.n.takeFull(store.Version(), store.Entries())
+	m.n.applyDocument(store.Version(), store.Entries())
 	return nil
 }
 
@@ -98,7 +98,7 @@
 		return nil
 	}
 	r := m.store.Apply(&c)
-	return encode(&r)
+	return encodeMsgpack(&r)
 }
 
 func (m *claimMachine) snapshot() ([]byte, error) { return m.store.Snapshot() }
@@ -116,7 +116,7 @@
 	return nil
 }
 
-func encode(v any) []byte {
+func encodeMsgpack(v any) []byte {
 	b, err := msgpack.Marshal(v)
 	if err != nil {
 		// Structs of plain fields always encode.
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -79,7 +79,7 @@
 // submit has a command applied by a replica group, wherever its leader is. The
 // command is sent again until a leader answers, so it must be idempotent. The
 // error's Run is RunNo only if no replica can have taken the command.
-func (n *Node) submit(id int, command []byte, wait time.Duration) ([]byte, *fault.Error) {
+func (n *Node) submitCommand(id int, command []byte, wait time.Duration) ([]byte, *fault.Error) {
 	maybe := false
 	var result []byte
 	var refused *fault.Error
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -89,7 +89,7 @@
 	t.metas[m.ID] = &memberView{m, meta}
 	t.n.quarantine.heardMember(m.ID, meta)
 	if old != nil && old.Status != m.Status || old == nil && m.Status != gossip.Dead {
-		t.n.event("member", meta.Name+" is "+m.Status.String()+".")
+		t.n.logEvent("member", meta.Name+" is "+m.Status.String()+".")
 	}
 	if m.Status == gossip.Dead {
 		delete(t.metas, m.ID)
@@ -114,9 +114,9 @@
 		old, known := t.domains[name]
 		switch {
 		case known && old.Reachable && !d.Reachable:
-			t.n.event("links", "Failure domain "+name+" is cut off.")
+			t.n.logEvent("links", "Failure domain "+name+" is cut off.")
 		case known && !old.Reachable && d.Reachable:
-			t.n.event("links", "Failure domain "+name+" is reachable again.")
+			t.n.logEvent("links", "Failure domain "+name+" is reachable again.")
 		}
 	}
 	t.domains = next
@@ -179,7 +179,7 @@
 		in.Seen.Announced(false)
 		return in
 	}
-	if be := t.n.local.Load(); be != nil && be.state == member.Serving && !t.n.leaving() {
+	if be := t.n.local.Load(); be != nil && be.state == member.Serving && !t.n.rejectsNewWork() {
 		svc := service(s, be.service)
 		svc.Own = append(svc.Own, add(t.n.id, t.n.opt.AdvertiseData, t.n.opt.Domain, be.slots, be.weight, be.start))
 	}
--- a/internal/node/writer.go
+++ b/internal/node/writer.go
@@ -81,13 +81,13 @@
 	g.writer.jobs.Offer(writeJob{reset: reset})
 	for {
 		select {
-		case <-g.r.n.stop:
+		case <-g.replicas.node.stop:
 			return fault.New(fault.Draining, "the node stops")
 		case w := <-g.writer.written.C():
 			if w.job.reset == reset {
 				return w.err
 			}
-			g.finish(w)
+			g.completeWrite(w)
 		}
 	}
 }
