--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	maxChange      = 8 << 20
+	maxChangeBytes = 8 << 20
 	changeTimeout  = 5 * time.Second
-	defaultHistory = 20
+	historyLength  = 20
 )
 
 func (n *Node) callerRoutes() http.Handler {
@@ -149,10 +149,10 @@
 	v := n.view.Load()
 	s := Status{
 		ID: n.id, Name: n.opt.Name, Domain: n.opt.Domain, UptimeMs: n.clock().Milliseconds(),
-		Config: n.conf.Load().version, Heard: n.gossip.highest.Load(), LateMs: n.news.last().Milliseconds(), Replicas: len(v.replicas), Lost: n.gossip.lost(), Backend: n.backendStatus(), State: nodeChart.Text(n.state.load()),
+		Config: n.conf.Load().version, Heard: n.gossip.highestVersion.Load(), LateMs: n.versions.activationDelay().Milliseconds(), Replicas: len(v.replicas), Lost: n.gossip.lostAddresses(), Backend: n.backendStatus(), State: nodeChart.Text(n.state.load()),
 		Members: len(v.members) + 1, InFlight: n.stats.inflight.Load(), Served: n.stats.served.Load(), Calls: n.stats.calls.Load(),
 		Retries: n.stats.retries.Load(), Refusals: n.stats.bySlug(), Cut: n.stats.cut.Load(),
-		Silent: n.peers.silent(), Domains: map[string]bool{}, Replica: n.replicas.status(), Dropped: n.dropped(),
+		Silent: n.peers.silent(), Domains: map[string]bool{}, Replica: n.replicas.status(), Dropped: n.droppedCounts(),
 		Quarantined: n.quarantine.status(),
 	}
 	c := &n.control.counter
@@ -164,8 +164,8 @@
 }
 
 // dropped counts what the rings between the duties have dropped.
-func (n *Node) dropped() map[string]int64 {
-	d := map[string]int64{"packets": n.gossip.packets.Dropped(), "fetches": n.gossip.fetches.Dropped()}
+func (n *Node) droppedCounts() map[string]int64 {
+	d := map[string]int64{"packets": n.gossip.packets.Dropped(), "fetches": n.gossip.configHints.Dropped()}
 	for _, g := range n.replicas.groups {
 		d["replica_inbox"] += g.inbox.Dropped()
 	}
@@ -174,7 +174,7 @@
 	}
 	n.replicas.mu.Lock()
 	defer n.replicas.mu.Unlock()
-	for _, s := range n.replicas.senders {
+	for _, s := range n.replicas.sendQueues {
 		d["replica_sender"] += s.Dropped()
 	}
 	return d
@@ -196,10 +196,10 @@
 	s := &ReplicaStatus{ID: r.id}
 	for _, g := range r.groups {
 		gs := GroupStatus{Group: g.id, Leads: g.leads.Load(), Leader: r.leaderAddr(g.id), Applied: g.applied.Load()}
-		gs.BearsLoss = gs.Leads && g.bears.Load()
-		gs.SavingMs = time.Duration(g.savingFor.Load()).Milliseconds()
+		gs.BearsLoss = gs.Leads && g.toleratesFailure.Load()
+		gs.SavingMs = time.Duration(g.saveTime.Load()).Milliseconds()
 		gs.Stalled = g.stalled.Load()
-		gs.RepairMs = time.Duration(g.repairTook.Load()).Milliseconds()
+		gs.RepairMs = time.Duration(g.lastRepairTime.Load()).Milliseconds()
 		if conf := g.conf.Load(); conf != nil {
 			for _, p := range conf.Voters {
 				gs.Voters = append(gs.Voters, p.ID+"@"+p.Addr)
@@ -295,10 +295,10 @@
 func (n *Node) serveConfig(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("current") != "true" {
 		c := n.conf.Load()
-		writeJSON(w, ConfigDocument{c.version, c.raw})
+		writeJSON(w, ConfigDocument{c.version, c.entries})
 		return
 	}
-	reply, ferr := n.readCurrent(changeTimeout)
+	reply, ferr := n.readCurrentConfig(changeTimeout)
 	if ferr != nil {
 		writeRefusal(w, "", ferr)
 		return
@@ -329,7 +329,7 @@
 
 func (n *Node) serveChange(w http.ResponseWriter, r *http.Request) {
 	var req ChangeRequest
-	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxChange))
+	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxChangeBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&req); err != nil {
 		writeRefusal(w, "", fault.Wrap(fault.BadRequest, err, "malformed change"))
@@ -374,14 +374,14 @@
 
 func (n *Node) serveHistory(w http.ResponseWriter, _ *http.Request) {
 	changes := n.conf.Load().changes
-	if over := len(changes) - defaultHistory; over > 0 {
+	if over := len(changes) - historyLength; over > 0 {
 		changes = changes[over:]
 	}
 	writeJSON(w, changes)
 }
 
 func (n *Node) serveForm(w http.ResponseWriter, _ *http.Request) {
-	if err := n.replicas.form(); err != nil {
+	if err := n.replicas.formGroups(); err != nil {
 		writeRefusal(w, "", fault.From(err))
 		return
 	}
@@ -391,9 +391,9 @@
 
 func (n *Node) serveDrain(w http.ResponseWriter, r *http.Request) {
 	on := r.URL.Query().Get("on") != "false"
-	e := undrain
+	e := eventUndrain
 	if on {
-		e = drain
+		e = eventDrain
 	}
 	if !n.state.applyEvent(nodeChart, e) {
 		writeRefusal(w, "", fault.New(fault.Conflict, "the node is "+nodeChart.Text(n.state.load())))
--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -43,7 +43,7 @@
 }
 
 // Announced answers an Announcement.
-type Announced struct {
+type AnnouncementReply struct {
 	// LeaseMs is how long the announcement holds, in milliseconds.
 	LeaseMs int64 `json:"lease_ms"`
 	// Call is the URL prefix for the calls that the backend server makes.
@@ -51,11 +51,11 @@
 }
 
 // maxAnnouncement bounds the body of an announcement, in bytes.
-const maxAnnouncement = 4 << 10
+const maxAnnouncementBytes = 4 << 10
 
 func (n *Node) serveAnnounce(w http.ResponseWriter, r *http.Request) {
 	var a Announcement
-	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncement))
+	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&a); err != nil {
 		writeRefusal(w, "", fault.Wrap(fault.BadRequest, err, "malformed announcement"))
@@ -65,7 +65,7 @@
 		writeRefusal(w, "", ferr)
 		return
 	}
-	writeJSON(w, Announced{LeaseMs: n.opt.Lease.Milliseconds(), Call: "http://" + n.opt.HTTP + callPrefix})
+	writeJSON(w, AnnouncementReply{LeaseMs: n.opt.Lease.Milliseconds(), Call: "http://" + n.opt.HTTP + callPrefix})
 }
 
 // Announce takes in what the backend server beside the node says of itself.
@@ -74,7 +74,7 @@
 	if !ok || state == member.Absent {
 		return fault.Newf(fault.BadRequest, "state = %q; allowed are starting, serving and draining", a.State)
 	}
-	if !validService(a.Service) {
+	if !isServiceName(a.Service) {
 		return fault.Newf(fault.BadRequest, "service = %q; allowed is fleet/service", a.Service)
 	}
 	host, _, err := net.SplitHostPort(a.Address)
@@ -93,27 +93,27 @@
 	if a.Born < 0 {
 		return fault.Newf(fault.BadRequest, "born = %d; allowed are milliseconds of the Unix time", a.Born)
 	}
-	n.renew(a, state)
+	n.applyAnnouncement(a, state)
 	return nil
 }
 
-func validService(s string) bool {
+func isServiceName(s string) bool {
 	target, rest, ok := splitTarget(s + "/k")
 	return ok && rest == "/" && target == s+"/k" && settings.ValidName("k")
 }
 
 // renew takes over an announcement. Connections survive as long as the
 // address does.
-func (n *Node) renew(a *Announcement, state member.State) {
+func (n *Node) applyAnnouncement(a *Announcement, state member.State) {
 	n.localMu.Lock()
 	defer n.localMu.Unlock()
 	old := n.local.Load()
-	if n.outdated(a, old) {
+	if n.isOutdated(a, old) {
 		return
 	}
-	if old != nil && old.anotherStart(a) {
-		n.retire(old.instance, old.born)
-		endEarlier(old, a)
+	if old != nil && old.isOtherIncarnation(a) {
+		n.retireIncarnation(old.instance, old.born)
+		closeEarlierIncarnation(old, a)
 		if old.client.Addr() == a.Address {
 			n.quarantine.ended(old)
 		}
@@ -127,24 +127,24 @@
 	if old != nil {
 		next.life, next.start = old.life, old.start
 	} else {
-		n.backendStarts++
-		next.start = n.backendStarts
+		n.backendIncarnations++
+		next.start = n.backendIncarnations
 	}
-	if to, ok := backendChart.Next(next.life, backendSays[state]); ok {
+	if to, ok := backendChart.Next(next.life, backendEvents[state]); ok {
 		next.life = to
 	}
-	next.state = backendState(next.life)
+	next.state = backendMemberState(next.life)
 	if old != nil && old.client.Addr() == a.Address {
 		next.client = old.client
 	} else {
 		next.client = backend.New(a.Address, backend.Options{
-			MaxConns: a.Connections, IdleMax: backendIdleMax, DialTimeout: backendDialTimeout, Quiet: backendQuiet,
+			MaxConns: a.Connections, IdleMax: backendIdleTimeout, DialTimeout: backendDialTimeout, Quiet: backendSilenceTimeout,
 		})
 	}
 	n.local.Store(next)
 	changed := old == nil || old.service != next.service || old.slots != next.slots || old.weight != next.weight || old.state != next.state
 	if changed {
-		n.applyGate()
+		n.updateGateOptions()
 		n.publishMeta()
 		n.logEvent("backend", next.service+" is "+state.String()+" at "+a.Address)
 	}
@@ -153,14 +153,14 @@
 // anotherStart tells whether an announcement is of another start than the one
 // taken in: of another identity, or of the same one born later. A start whose
 // birth was not known, as when a node that restarted found it, learns it now.
-func (be *local) anotherStart(a *Announcement) bool {
+func (be *local) isOtherIncarnation(a *Announcement) bool {
 	return be.instance != a.Instance || be.born > 0 && a.Born > be.born
 }
 
 // endEarlier ends what an earlier start had. Where the later one stands at the
 // same address the earlier cannot answer any more: its requests end at once
 // instead of waiting for answers.
-func endEarlier(old *local, a *Announcement) {
+func closeEarlierIncarnation(old *local, a *Announcement) {
 	if old.client.Addr() == a.Address {
 		old.client.Abandon()
 		return
@@ -175,11 +175,11 @@
 // A clock that steps back can make a later start look like an earlier one. It is
 // then taken in when the earlier one is gone: at its first connection that is
 // refused, or when its lease runs out.
-func (n *Node) outdated(a *Announcement, old *local) bool {
+func (n *Node) isOutdated(a *Announcement, old *local) bool {
 	if a.Instance == "" {
 		return false
 	}
-	if r, ok := n.retired[a.Instance]; ok && a.Born <= r.born && time.Since(r.at) < retiredLife {
+	if r, ok := n.retiredIncarnations[a.Instance]; ok && a.Born <= r.born && time.Since(r.at) < retiredIncarnationTTL {
 		return true
 	}
 	if old == nil || old.instance != a.Instance || a.Born > old.born {
@@ -189,34 +189,34 @@
 }
 
 // retirement is a start of a backend server that is gone for good.
-type retirement struct {
+type retiredIncarnation struct {
 	born int64
 	at   time.Time
 }
 
 const (
 	// maxRetired bounds the identities remembered; they are forgotten together.
-	maxRetired = 256
+	maxRetiredIdentities = 256
 	// retiredLife is how long one is remembered: several times what an
 	// announcement that a cut held up takes.
-	retiredLife = time.Minute
+	retiredIncarnationTTL = time.Minute
 )
 
 // retire remembers that a start of an identity is gone for good, and those before
 // it. Where its birth is not known, all are gone that were born until now: a
 // backend server and the node beside it have the same clock. The lock is held.
-func (n *Node) retire(instance string, born int64) {
+func (n *Node) retireIncarnation(instance string, born int64) {
 	if instance == "" {
 		return
 	}
-	if len(n.retired) >= maxRetired {
-		clear(n.retired)
+	if len(n.retiredIncarnations) >= maxRetiredIdentities {
+		clear(n.retiredIncarnations)
 	}
 	now := time.Now()
 	if born == 0 {
 		born = now.UnixMilli()
 	}
-	n.retired[instance] = retirement{born, now}
+	n.retiredIncarnations[instance] = retiredIncarnation{born, now}
 }
 
 // WithdrawBackend takes in that a start of a backend server leaves for good. What it
@@ -230,9 +230,9 @@
 	switch {
 	case late:
 	case known:
-		n.retire(instance, be.born)
+		n.retireIncarnation(instance, be.born)
 	default:
-		n.retire(instance, born)
+		n.retireIncarnation(instance, born)
 	}
 	n.localMu.Unlock()
 	if known && !late {
@@ -241,9 +241,9 @@
 }
 
 const (
-	backendIdleMax     = 30 * time.Second
-	backendDialTimeout = 500 * time.Millisecond
-	backendQuiet       = time.Second
+	backendIdleTimeout    = 30 * time.Second
+	backendDialTimeout    = 500 * time.Millisecond
+	backendSilenceTimeout = time.Second
 )
 
 // setLocal replaces the backend server; nil means that it is gone.
@@ -260,7 +260,7 @@
 }
 
 // checkLease ends a lease that was not renewed.
-func (n *Node) checkLease(now time.Time) {
+func (n *Node) expireLease(now time.Time) {
 	be := n.local.Load()
 	if be != nil && now.After(be.expires) {
 		n.replaceLocal(nil, "its lease ran out")
@@ -269,7 +269,7 @@
 }
 
 // applyGate gives the gate the settings of the service beside the node.
-func (n *Node) applyGate() {
+func (n *Node) updateGateOptions() {
 	be := n.local.Load()
 	if be == nil {
 		return
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -24,10 +24,10 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	t := n.gossip.tables
+	t := n.gossip.views
 	for i := range 1091 {
 		m := member.Meta{Name: fmt.Sprint(i), Data: fmt.Sprintf("10.0.%d.%d:7001", i/250, i%250), Service: fmt.Sprintf("fleet/service-%d", i%150), Slots: 40, Weight: 1, State: member.Serving}
-		t.take(gossip.Event{Member: &gossip.Member{ID: fmt.Sprint(i), Addr: "10.0.0.1:7002", Meta: m.Encode()}})
+		t.handleEvent(gossip.Event{Member: &gossip.Member{ID: fmt.Sprint(i), Addr: "10.0.0.1:7002", Meta: m.Encode()}})
 	}
 	for d := range 21 {
 		for s := range 150 {
@@ -35,7 +35,7 @@
 			for i := range member.SummaryInstances {
 				sum.Instances = append(sum.Instances, member.Remote{ID: fmt.Sprintf("%d-%d-%d", d, s, i), Addr: fmt.Sprintf("10.%d.%d.%d:7001", d, s, i), Slots: 40, Weight: 1})
 			}
-			t.take(gossip.Event{Record: gossip.Record{Key: member.SummaryKey(sum.Domain, sum.Service), Payload: sum.Encode()}})
+			t.handleEvent(gossip.Event{Record: gossip.Record{Key: member.SummaryKey(sum.Domain, sum.Service), Payload: sum.Encode()}})
 		}
 	}
 	b.ReportAllocs()
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -16,32 +16,32 @@
 	tree    *settings.Tree
 	// raw is the whole document, with entries that only a newer release
 	// understands: they are handed on, not used.
-	raw settings.Entries
+	entries settings.Entries
 	// changes are the last ones, oldest first, for nodes that are behind.
 	changes []confstore.Change
 }
 
-func emptyConfig() *config { return &config{tree: settings.Empty, raw: settings.Entries{}} }
+func emptyConfig() *config { return &config{tree: settings.Empty, entries: settings.Entries{}} }
 
 const (
 	// keptChanges is how many changes a node can hand on.
-	keptChanges = 256
+	maxKeptChanges = 256
 	// fetchFirst bounds the first fetches of settings: many round trips, and
 	// little of the two seconds in which settings are due, as the node that was
 	// asked may be gone and the next hint comes within half a second.
-	fetchFirst = 300 * time.Millisecond
+	initialFetchTimeout = 300 * time.Millisecond
 	// fetchTimeout bounds a fetch after some have failed: a large document over a
 	// slow link takes longer.
-	fetchTimeout = 2 * time.Second
+	maxFetchTimeout = 2 * time.Second
 )
 
 // takeChanges puts accepted changes in force, in order. What is not newer than
 // the version in force is passed over, so that a version never falls.
-func (n *Node) takeChanges(cs []confstore.Change) {
+func (n *Node) applyChanges(cs []confstore.Change) {
 	n.confMu.Lock()
 	defer n.confMu.Unlock()
 	cur := n.conf.Load()
-	next := &config{version: cur.version, tree: cur.tree, raw: maps.Clone(cur.raw)}
+	next := &config{version: cur.version, tree: cur.tree, entries: maps.Clone(cur.entries)}
 	next.changes = cur.changes[:len(cur.changes):len(cur.changes)]
 	for _, c := range cs {
 		if c.Version != next.version+1 {
@@ -49,34 +49,34 @@
 		}
 		next.version = c.Version
 		next.changes = append(next.changes, c)
-		n.patch(next, c.Patch)
+		n.applyPatch(next, c.Patch)
 	}
 	if next.version == cur.version {
 		return
 	}
-	if over := len(next.changes) - keptChanges; over > 0 {
+	if over := len(next.changes) - maxKeptChanges; over > 0 {
 		next.changes = append([]confstore.Change(nil), next.changes[over:]...)
 	}
-	n.putInForce(next)
+	n.activate(next)
 }
 
-func (n *Node) patch(c *config, p settings.Patch) {
+func (n *Node) applyPatch(c *config, p settings.Patch) {
 	for _, id := range p.Remove {
-		delete(c.raw, id)
+		delete(c.entries, id)
 	}
 	for id, v := range p.Set {
-		c.raw[id] = v
+		c.entries[id] = v
 	}
 	tree, err := c.tree.Apply(p)
 	if err != nil {
-		tree = n.usable(c.raw, c.tree)
+		tree = n.usableTree(c.entries, c.tree)
 	}
 	c.tree = tree
 }
 
 // usable returns the tree of what this release understands of a document that
 // a newer one has accepted.
-func (n *Node) usable(raw settings.Entries, last *settings.Tree) *settings.Tree {
+func (n *Node) usableTree(raw settings.Entries, last *settings.Tree) *settings.Tree {
 	known := settings.Entries{}
 	for id, v := range raw {
 		if settings.Known(id, v) {
@@ -102,23 +102,23 @@
 	if version <= cur.version {
 		return
 	}
-	n.putInForce(&config{version: version, raw: entries, tree: n.usable(entries, cur.tree)})
+	n.activate(&config{version: version, entries: entries, tree: n.usableTree(entries, cur.tree)})
 }
 
-func (n *Node) putInForce(next *config) {
+func (n *Node) activate(next *config) {
 	n.conf.Store(next)
-	n.applyGate()
+	n.updateGateOptions()
 	n.gossip.configChanged(next.version)
-	late, way, from := n.news.force(n.clock(), next.version)
+	late, way, from := n.versions.activate(n.clock(), next.version)
 	text := "Version " + formatUint(next.version) + " is in force."
 	n.info("config", text, "by", way, "from", from, "heard_ms_ago", late.Milliseconds())
-	n.remember("config", text)
+	n.recordEvent("config", text)
 }
 
 // fetchWait returns how long a fetch may take after so many have failed in a row.
-func fetchWait(failed int) time.Duration {
+func fetchTimeoutAfter(failed int) time.Duration {
 	const tries = 2
-	return min(fetchTimeout, fetchFirst<<min(failed/tries, 8))
+	return min(maxFetchTimeout, initialFetchTimeout<<min(failed/tries, 8))
 }
 
 // fetchConfig brings this node up to the version of the node at addr.
@@ -132,12 +132,12 @@
 		n.applyDocument(reply.Version, reply.Full)
 		return nil
 	}
-	n.takeChanges(reply.Changes)
+	n.applyChanges(reply.Changes)
 	return nil
 }
 
 // configSince returns what a node at a version lacks.
-func (n *Node) configSince(since uint64) control.FetchReply {
+func (n *Node) configChangesSince(since uint64) control.FetchReply {
 	cur := n.conf.Load()
 	r := control.FetchReply{Version: cur.version}
 	if since >= cur.version {
@@ -148,7 +148,7 @@
 		r.Changes = cur.changes[uint64(len(cur.changes))-behind:]
 		return r
 	}
-	r.Full = cur.raw
+	r.Full = cur.entries
 	return r
 }
 
@@ -158,12 +158,12 @@
 // disk gave it.
 func (n *Node) awaitConfig() {
 	deadline := time.Now().Add(n.opt.StartWait.Duration)
-	const look = 20 * time.Millisecond
+	const pollInterval = 20 * time.Millisecond
 	for time.Now().Before(deadline) {
-		if len(n.opt.Bootstrap) == 0 || n.gossip.joined.Load() && n.conf.Load().version >= n.gossip.highest.Load() {
+		if len(n.opt.Bootstrap) == 0 || n.gossip.joined.Load() && n.conf.Load().version >= n.gossip.highestVersion.Load() {
 			return
 		}
-		time.Sleep(look)
+		time.Sleep(pollInterval)
 	}
 	n.warn("config", "Nobody answered, serving with the settings at hand.", "version", n.conf.Load().version)
 }
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -14,12 +14,12 @@
 
 // controlServer serves the control messages of other nodes, over net/rpc.
 type controlServer struct {
-	n       *Node
-	pool    *control.Pool
-	counter control.Counter
-	links   *links.State
-	askers  askers
-	rpc     *rpc.Server
+	node     *Node
+	pool     *control.Pool
+	counter  control.Counter
+	links    *links.State
+	contacts recentContacts
+	rpc      *rpc.Server
 
 	mu    sync.Mutex
 	ln    net.Listener
@@ -27,7 +27,7 @@
 }
 
 func newControlServer(n *Node) *controlServer {
-	s := &controlServer{n: n, links: links.New(), rpc: rpc.NewServer(), conns: map[net.Conn]struct{}{}}
+	s := &controlServer{node: n, links: links.New(), rpc: rpc.NewServer(), conns: map[net.Conn]struct{}{}}
 	s.pool = control.NewPool(&s.counter, func(addr string, timeout time.Duration) (net.Conn, error) { return n.dial(addr, timeout) })
 	if err := s.rpc.RegisterName(control.Service, &controlAPI{n}); err != nil {
 		// The methods are fixed at compile time.
@@ -71,46 +71,46 @@
 
 // askers remembers who asked lately from other failure domains, so that
 // processes that start together find each other through any node.
-type askers struct {
-	mu     sync.Mutex
-	latest map[string][]string // by failure domain
+type recentContacts struct {
+	mu       sync.Mutex
+	byDomain map[string][]string // by failure domain
 }
 
 // askersKept is how many are remembered for each domain.
-const askersKept = 6
+const maxContactsPerDomain = 6
 
 // others notes who asks, and returns other nodes of its failure domain: those
 // that are known to link it and those that asked lately.
-func (a *askers) others(domain, self string, known []string) []string {
+func (a *recentContacts) recordAndList(domain, addr string, known []string) []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.latest == nil {
-		a.latest = map[string][]string{}
+	if a.byDomain == nil {
+		a.byDomain = map[string][]string{}
 	}
-	out := slices.Concat(known, a.latest[domain])
-	if self != "" {
-		kept := slices.DeleteFunc(slices.Clone(a.latest[domain]), func(v string) bool { return v == self })
-		kept = append(kept, self)
-		a.latest[domain] = kept[max(0, len(kept)-askersKept):]
+	out := slices.Concat(known, a.byDomain[domain])
+	if addr != "" {
+		kept := slices.DeleteFunc(slices.Clone(a.byDomain[domain]), func(v string) bool { return v == addr })
+		kept = append(kept, addr)
+		a.byDomain[domain] = kept[max(0, len(kept)-maxContactsPerDomain):]
 	}
 	return out
 }
 
 // controlAPI are the methods that net/rpc serves.
-type controlAPI struct{ n *Node }
+type controlAPI struct{ node *Node }
 
 // Sync compares the records of two nodes.
 func (a *controlAPI) Sync(req *control.SyncRequest, reply *control.SyncReply) error {
-	n := a.n
+	n := a.node
 	reply.Domain = n.opt.Domain
 	reply.Config = n.conf.Load().version
 	reply.Held = n.quarantine.heldNow()
-	n.gossip.observeVersion(bySync, req.Addr, req.Config)
+	n.gossip.observeVersion(viaSync, req.Addr, req.Config)
 	if req.Domain != n.opt.Domain {
-		reply.Seeds = n.control.askers.others(req.Domain, req.Addr, n.view.Load().domains[req.Domain].Control)
+		reply.Seeds = n.control.contacts.recordAndList(req.Domain, req.Addr, n.view.Load().domains[req.Domain].Control)
 		return nil
 	}
-	n.gossip.do(func() {
+	n.gossip.runOnCore(func() {
 		n.gossip.core.Merge(n.clock(), req.Records)
 		reply.Records = n.gossip.core.Differing(req.Digest)
 		reply.Digest = n.gossip.core.Digest()
@@ -120,13 +120,13 @@
 
 // Fetch brings the settings after a version.
 func (a *controlAPI) Fetch(req *control.FetchRequest, reply *control.FetchReply) error {
-	*reply = a.n.configSince(req.Since)
+	*reply = a.node.configChangesSince(req.Since)
 	return nil
 }
 
 // Exchange takes in what another failure domain tells, and answers in kind.
 func (a *controlAPI) Exchange(req *control.ExchangeRequest, reply *control.ExchangeReply) error {
-	n := a.n
+	n := a.node
 	l := n.control.links
 	_, addrs := n.linkMembers()
 	*reply = control.ExchangeReply{Domain: n.opt.Domain, Control: addrs, Config: n.conf.Load().version, ID: n.id}
@@ -138,28 +138,28 @@
 		reply.Have = req.UpTo
 	}
 	l.Confirmed(req, n.id)
-	reply.Records, reply.UpTo = l.Unsent(req.ID, n.summaries())
+	reply.Records, reply.UpTo = l.Unsent(req.ID, n.serviceSummaries())
 	reply.Known, reply.Domains = n.domainsFor(req.Known)
 	n.learnDomains(req.Domains)
-	n.takeExchange(req.Domain, req.Control, req.Records)
-	n.gossip.observeVersion(byExchange, req.Addr, req.Config)
+	n.mergeExchange(req.Domain, req.Control, req.Records)
+	n.gossip.observeVersion(viaExchange, req.Addr, req.Config)
 	return nil
 }
 
 // Step takes in messages of another replica.
 func (a *controlAPI) Step(req *control.StepRequest, _ *control.Empty) error {
-	a.n.replicas.step(req.Group, req.Messages)
+	a.node.replicas.stepGroup(req.Group, req.Messages)
 	return nil
 }
 
 // Submit has a command applied by the group that this replica leads.
 func (a *controlAPI) Submit(req *control.SubmitRequest, reply *control.SubmitReply) error {
 	wait := time.Duration(req.WaitMs) * time.Millisecond
-	result, err := a.n.replicas.propose(req.Group, req.Command, wait)
+	result, err := a.node.replicas.propose(req.Group, req.Command, wait)
 	if err != nil {
 		e := fault.From(err)
 		reply.Code, reply.Run, reply.Detail = e.Code, e.Run, e.Detail
-		reply.Leader = a.n.replicas.leaderAddr(req.Group)
+		reply.Leader = a.node.replicas.leaderAddr(req.Group)
 		return nil
 	}
 	reply.Result = result
@@ -169,10 +169,10 @@
 // Read brings the settings in force, confirmed by a quorum.
 func (a *controlAPI) Read(req *control.ReadRequest, reply *control.ReadReply) error {
 	wait := time.Duration(req.WaitMs) * time.Millisecond
-	version, entries, err := a.n.replicas.readConfig(wait)
+	version, entries, err := a.node.replicas.readConfig(wait)
 	if err != nil {
 		reply.Code = fault.CodeOf(err)
-		reply.Leader = a.n.replicas.leaderAddr(configGroup)
+		reply.Leader = a.node.replicas.leaderAddr(configGroup)
 		return nil
 	}
 	reply.Version = version
@@ -184,7 +184,7 @@
 
 // Identity tells what replica stands at this node.
 func (a *controlAPI) Identity(_ *control.Empty, reply *control.IdentityReply) error {
-	r, o := a.n.replicas, &a.n.opt
-	*reply = control.IdentityReply{ID: r.identity(), Domain: o.Domain, Addr: o.AdvertiseControl, Formed: r.formed()}
+	r, o := a.node.replicas, &a.node.opt
+	*reply = control.IdentityReply{ID: r.identity(), Domain: o.Domain, Addr: o.AdvertiseControl, Formed: r.belongsToGroup()}
 	return nil
 }
--- a/internal/node/document.go
+++ b/internal/node/document.go
@@ -26,7 +26,7 @@
 }
 
 // patch returns what turns the entries in force into the document.
-func (r *Replacement) patch(now settings.Entries) settings.Patch {
+func (r *Replacement) patchFrom(now settings.Entries) settings.Patch {
 	p := settings.Patch{Set: settings.Entries{}}
 	for id, v := range r.Entries {
 		if old, ok := now[id]; !ok || old != v {
@@ -46,16 +46,16 @@
 // error's Run is RunNo only if the document certainly was not taken.
 func (n *Node) ReplaceSettings(r *Replacement, wait time.Duration) (confstore.Result, *fault.Error) {
 	deadline := time.Now().Add(wait)
-	maybe := false
+	uncertain := false
 	for {
 		conf := n.conf.Load()
 		change := confstore.Change{
-			ID: r.ID, Base: conf.version, Patch: r.patch(conf.raw), Author: r.Author,
+			ID: r.ID, Base: conf.version, Patch: r.patchFrom(conf.entries), Author: r.Author,
 			AtMs: time.Now().UnixMilli(), Revision: r.Revision, BaseRevision: r.Base,
 		}
 		b, ferr := n.submitCommand(configGroup, encodeMsgpack(&change), time.Until(deadline))
 		if ferr != nil {
-			if maybe && ferr.Run == fault.RunNo {
+			if uncertain && ferr.Run == fault.RunNo {
 				ferr.Run = fault.RunUnknown
 			}
 			return confstore.Result{}, ferr
@@ -74,18 +74,18 @@
 
 // awaitVersion waits until a version is in force here, asking for it.
 func (n *Node) awaitVersion(version uint64, deadline time.Time) {
-	const look = 5 * time.Millisecond
+	const pollInterval = 5 * time.Millisecond
 	if addr := n.replicas.leaderAddr(configGroup); addr != "" && addr != n.opt.AdvertiseControl {
-		n.gossip.observeVersion(byAnswer, addr, version)
+		n.gossip.observeVersion(viaReplicaAnswer, addr, version)
 	}
 	for n.conf.Load().version < version && time.Now().Before(deadline) {
-		time.Sleep(look)
+		time.Sleep(pollInterval)
 	}
 }
 
 // CurrentSettings returns the entries in force, confirmed by a quorum.
 func (n *Node) CurrentSettings(wait time.Duration) (settings.Entries, *fault.Error) {
-	r, ferr := n.readCurrent(wait)
+	r, ferr := n.readCurrentConfig(wait)
 	if ferr != nil {
 		return nil, ferr
 	}
@@ -93,16 +93,16 @@
 }
 
 // foundPause is the time between two looks at whether the groups can be formed.
-const foundPause = 50 * time.Millisecond
+const formRetryInterval = 50 * time.Millisecond
 
 // found forms the replica groups on the first start of a fleet, on the node
 // that stands first among those that all were told of.
-func (n *Node) found() {
-	if len(n.opt.Bootstrap) == 0 || n.opt.Bootstrap[0] != n.opt.AdvertiseControl || n.replicas.formed() {
+func (n *Node) formOnFirstStart() {
+	if len(n.opt.Bootstrap) == 0 || n.opt.Bootstrap[0] != n.opt.AdvertiseControl || n.replicas.belongsToGroup() {
 		return
 	}
 	for {
-		err := n.replicas.form()
+		err := n.replicas.formGroups()
 		if err == nil || fault.CodeOf(err) == fault.Conflict {
 			n.logEvent("replica", "Formed the replica groups, the first start of the fleet.")
 			return
@@ -111,7 +111,7 @@
 		select {
 		case <-n.stop:
 			return
-		case <-time.After(foundPause):
+		case <-time.After(formRetryInterval):
 		}
 	}
 }
--- a/internal/node/fetch_test.go
+++ b/internal/node/fetch_test.go
@@ -21,18 +21,18 @@
 	behindNode, ahead := startNode(t, "a", nil, nil), startNode(t, "a", nil, nil)
 	ahead.applyDocument(7, settings.Entries{"#deadline": "4s"})
 	began := time.Now()
-	behindNode.gossip.observeVersion(byPacket, mute.Addr().String(), 7)
-	behindNode.gossip.observeVersion(byPacket, ahead.opt.Control, 7)
+	behindNode.gossip.observeVersion(viaPacket, mute.Addr().String(), 7)
+	behindNode.gossip.observeVersion(viaPacket, ahead.opt.Control, 7)
 	g.Eventually(func() uint64 { return behindNode.conf.Load().version }, 5*time.Second, 5*time.Millisecond).Should(gomega.Equal(uint64(7)))
 	g.Expect(time.Since(began)).To(gomega.BeNumerically("<", time.Second))
 }
 
 func TestFetchMayTakeLongerAfterFailures(t *testing.T) {
 	g := gomega.NewWithT(t)
-	g.Expect(fetchWait(0)).To(gomega.Equal(fetchFirst))
-	g.Expect(fetchWait(1)).To(gomega.Equal(fetchFirst))
-	g.Expect(fetchWait(2)).To(gomega.Equal(2 * fetchFirst))
-	g.Expect(fetchWait(100)).To(gomega.Equal(fetchTimeout))
+	g.Expect(fetchTimeoutAfter(0)).To(gomega.Equal(initialFetchTimeout))
+	g.Expect(fetchTimeoutAfter(1)).To(gomega.Equal(initialFetchTimeout))
+	g.Expect(fetchTimeoutAfter(2)).To(gomega.Equal(2 * initialFetchTimeout))
+	g.Expect(fetchTimeoutAfter(100)).To(gomega.Equal(maxFetchTimeout))
 }
 
 // TestComparingRecordsTellsBothSides: the one that asks has newer settings, as a
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	gossipTick      = 25 * time.Millisecond
-	gossipPeriod    = 500 * time.Millisecond
-	ackTimeout      = 150 * time.Millisecond
-	suspicion       = 2 * time.Second
-	forgetAfter     = 30 * time.Second
-	indirectProbes  = 3
-	packetBytes     = 1100
-	maxDatagram     = 16 << 10
-	nudges          = 3
-	packetRing      = 1024
-	commandRing     = 256
-	fetchRing       = 64
-	maxFailedInARow = 2
+	gossipTickInterval  = 25 * time.Millisecond
+	gossipPeriod        = 500 * time.Millisecond
+	ackTimeout          = 150 * time.Millisecond
+	suspicionTimeout    = 2 * time.Second
+	forgetAfter         = 30 * time.Second
+	indirectProbes      = 3
+	maxPacketBytes      = 1100
+	maxDatagramBytes    = 16 << 10
+	nudgeFanout         = 3
+	packetQueueSize     = 1024
+	commandQueueSize    = 256
+	configHintQueueSize = 64
+	maxLinkFailures     = 2
 )
 
 type datagram struct {
@@ -36,7 +36,7 @@
 	packet gossip.Packet
 }
 
-type behind struct {
+type configHint struct {
 	addr    string
 	version uint64
 }
@@ -44,24 +44,24 @@
 // gossiper is the shell of the gossip core: one duty owns the core, one reads
 // datagrams, one syncs and one fetches settings.
 type gossiper struct {
-	n       *Node
-	core    *gossip.Core
-	tables  *tables
-	udp     *net.UDPConn
-	packets *ring.Ring[datagram]
-	fetches *ring.Ring[behind]
+	node        *Node
+	core        *gossip.Core
+	views       *viewBuilder
+	udp         *net.UDPConn
+	packets     *ring.Ring[datagram]
+	configHints *ring.Ring[configHint]
 	// commands run on the core's goroutine. A caller waits for room: commands
 	// are rare and none comes from the way of a request.
 	commands chan func()
-	linkNow  chan struct{}
+	linkWake chan struct{}
 	// lookNow wakes the duty that compares records.
-	lookNow chan struct{}
+	syncWake chan struct{}
 	// stale is set while the routing table lacks what gossip said.
-	stale       bool
+	routesStale bool
 	nextPublish time.Duration
 
-	joined  atomic.Bool
-	highest atomic.Uint64
+	joined         atomic.Bool
+	highestVersion atomic.Uint64
 	// finder decides whom to compare records with; mu guards it.
 	mu     sync.Mutex
 	finder *discovery.Core
@@ -70,12 +70,12 @@
 func newGossiper(n *Node) *gossiper {
 	self := gossip.Member{ID: n.id, Addr: n.opt.AdvertiseControl}
 	core := gossip.New(self, gossip.Options{
-		Period: gossipPeriod, AckTimeout: ackTimeout, Suspicion: suspicion, Forget: forgetAfter,
-		Indirect: indirectProbes, PacketBytes: packetBytes, Urgent: member.IsEnded, Rand: newRand(),
+		Period: gossipPeriod, AckTimeout: ackTimeout, Suspicion: suspicionTimeout, Forget: forgetAfter,
+		Indirect: indirectProbes, PacketBytes: maxPacketBytes, Urgent: member.IsEnded, Rand: newRand(),
 	})
 	return &gossiper{
-		n: n, core: core, tables: newTables(n), packets: ring.New[datagram](packetRing), fetches: ring.New[behind](fetchRing),
-		commands: make(chan func(), commandRing), linkNow: make(chan struct{}, 1), lookNow: make(chan struct{}, 1),
+		node: n, core: core, views: newViewBuilder(n), packets: ring.New[datagram](packetQueueSize), configHints: ring.New[configHint](configHintQueueSize),
+		commands: make(chan func(), commandQueueSize), linkWake: make(chan struct{}, 1), syncWake: make(chan struct{}, 1),
 		finder: discovery.New(discovery.Options{Self: n.opt.AdvertiseControl, Domain: n.opt.Domain, Rand: newRand()}),
 	}
 }
@@ -87,90 +87,90 @@
 func (g *gossiper) run(udp *net.UDPConn) {
 	g.udp = udp
 	go g.readLoop()
-	g.n.duty("sync", g.syncLoop)
-	g.n.duty("fetch", g.fetchLoop)
-	g.core.SetMeta(g.n.meta().Encode())
-	t := time.NewTicker(gossipTick)
+	g.node.startTask("sync", g.syncLoop)
+	g.node.startTask("fetch", g.fetchLoop)
+	g.core.SetMeta(g.node.meta().Encode())
+	t := time.NewTicker(gossipTickInterval)
 	defer t.Stop()
 	for {
 		select {
-		case <-g.n.stop:
+		case <-g.node.stop:
 			return
 		case d := <-g.packets.C():
-			g.core.Receive(g.n.clock(), d.addr, d.packet)
+			g.core.Receive(g.node.clock(), d.addr, d.packet)
 		case f := <-g.commands:
 			f()
 		case <-t.C:
-			g.core.Tick(g.n.clock())
+			g.core.Tick(g.node.clock())
 		}
-		g.work()
+		g.handleOutput()
 	}
 }
 
 // work sends what the core wants sent and takes in its events.
-func (g *gossiper) work() {
+func (g *gossiper) handleOutput() {
 	outs, events := g.core.Take()
 	for _, o := range outs {
-		g.send(o)
+		g.sendPacket(o)
 	}
 	for _, e := range events {
-		g.tables.take(e)
+		g.views.handleEvent(e)
 	}
-	g.stale = g.stale || len(events) > 0
-	if now := g.n.clock(); g.stale && now >= g.nextPublish {
+	g.routesStale = g.routesStale || len(events) > 0
+	if now := g.node.clock(); g.routesStale && now >= g.nextPublish {
 		g.publish(now)
 	}
 }
 
 // publishShare is the part of a core that building routing tables may take
 // while the membership changes all the time: one in so many.
-const publishShare = 40
+const publishCostDivisor = 40
 
 // publish builds the routing table. In a large fleet it waits a while before
 // the next; requests are routed around what changed meanwhile by the refusals
 // that they get.
 func (g *gossiper) publish(now time.Duration) {
-	g.tables.publish()
-	g.stale = false
-	g.nextPublish = now + publishShare*(g.n.clock()-now)
+	g.views.publish()
+	g.routesStale = false
+	g.nextPublish = now + publishCostDivisor*(g.node.clock()-now)
 }
 
-func (g *gossiper) send(o gossip.Out) {
-	o.Packet.Config = g.n.conf.Load().version
+func (g *gossiper) sendPacket(o gossip.Out) {
+	o.Packet.Config = g.node.conf.Load().version
 	b := gossip.EncodePacket(o.Packet)
 	addr, err := net.ResolveUDPAddr("udp", o.Addr)
 	if err != nil {
 		return
 	}
-	if !g.n.mayDatagram(o.Addr) {
+	if !g.node.allowDatagram(o.Addr) {
 		return
 	}
-	g.n.stats.controlOut.Add(int64(len(b)))
+	g.node.stats.controlOut.Add(int64(len(b)))
 	// A lost datagram is what the protocol is made for.
 	_, _ = g.udp.WriteToUDP(b, addr)
 }
 
 func (g *gossiper) readLoop() {
-	buf := make([]byte, maxDatagram)
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, addr, err := g.udp.ReadFromUDP(buf)
 		if err != nil {
 			return
 		}
-		g.n.stats.controlIn.Add(int64(n))
+		g.node.stats.controlIn.Add(int64(n))
 		p, err := gossip.DecodePacket(buf[:n])
 		if err != nil {
 			continue
 		}
-		g.observeVersion(byPacket, g.addrOf(p.From), p.Config)
+		g.observeVersion(viaPacket, g.memberAddr(p.From), p.Config)
 		// A full ring drops the packet, like the network may.
 		g.packets.Offer(datagram{addr.String(), p})
 	}
 }
 
 // addrOf returns the control address of a member, or "".
-func (g *gossiper) addrOf(id string) string {
-	for _, m := range g.n.view.Load().members {
+func (g *gossiper) memberAddr(id string) string {
+	for _, m := range g.node.view.Load().members {
 		if m.ID == id {
 			return m.Addr
 		}
@@ -179,23 +179,23 @@
 }
 
 // noteHighest keeps the highest version of the settings that is known to exist.
-func (g *gossiper) noteHighest(version uint64) {
+func (g *gossiper) raiseHighestVersion(version uint64) {
 	for {
-		old := g.highest.Load()
-		if version <= old || g.highest.CompareAndSwap(old, version) {
+		old := g.highestVersion.Load()
+		if version <= old || g.highestVersion.CompareAndSwap(old, version) {
 			return
 		}
 	}
 }
 
 // heard notes that the node at addr has a version of the settings.
-func (g *gossiper) observeVersion(way newsWay, addr string, version uint64) {
-	g.noteHighest(version)
-	inForce := g.n.conf.Load().version
-	g.n.news.heard(g.n.clock(), version, inForce, way, addr)
+func (g *gossiper) observeVersion(way versionSource, addr string, version uint64) {
+	g.raiseHighestVersion(version)
+	inForce := g.node.conf.Load().version
+	g.node.versions.observe(g.node.clock(), version, inForce, way, addr)
 	if addr != "" && version > inForce {
 		// A full ring drops the hint; the next packet brings it again.
-		g.fetches.Offer(behind{addr, version})
+		g.configHints.Offer(configHint{addr, version})
 	}
 }
 
@@ -204,15 +204,15 @@
 	failed := 0
 	for {
 		select {
-		case <-g.n.stop:
+		case <-g.node.stop:
 			return
-		case b := <-g.fetches.C():
-			if b.version <= g.n.conf.Load().version {
+		case b := <-g.configHints.C():
+			if b.version <= g.node.conf.Load().version {
 				continue
 			}
-			if err := g.n.fetchConfig(b.addr, fetchWait(failed)); err != nil {
+			if err := g.node.fetchConfig(b.addr, fetchTimeoutAfter(failed)); err != nil {
 				failed++
-				g.n.warn("config", "Cannot fetch settings.", "from", b.addr, "err", err)
+				g.node.warn("config", "Cannot fetch settings.", "from", b.addr, "err", err)
 				continue
 			}
 			failed = 0
@@ -221,55 +221,55 @@
 }
 
 // do runs f on the core's goroutine and waits for it; false if the node stops.
-func (g *gossiper) do(f func()) bool {
+func (g *gossiper) runOnCore(f func()) bool {
 	done := make(chan struct{})
 	select {
 	case g.commands <- func() { f(); close(done) }:
-	case <-g.n.stop:
+	case <-g.node.stop:
 		return false
 	}
 	select {
 	case <-done:
 		return true
-	case <-g.n.stop:
+	case <-g.node.stop:
 		return false
 	}
 }
 
 // post runs f on the core's goroutine without waiting for it.
-func (g *gossiper) post(f func()) {
+func (g *gossiper) postToCore(f func()) {
 	select {
 	case g.commands <- f:
-	case <-g.n.stop:
+	case <-g.node.stop:
 	}
 }
 
 func (g *gossiper) metaChanged() {
-	g.post(func() {
-		g.core.SetMeta(g.n.meta().Encode())
-		g.core.Nudge(nudges)
-		g.stale = true
+	g.postToCore(func() {
+		g.core.SetMeta(g.node.meta().Encode())
+		g.core.Nudge(nudgeFanout)
+		g.routesStale = true
 	})
 }
 
 func (g *gossiper) configChanged(version uint64) {
-	g.noteHighest(version)
-	go g.post(func() { g.core.Nudge(nudges) })
+	g.raiseHighestVersion(version)
+	go g.postToCore(func() { g.core.Nudge(nudgeFanout) })
 	g.wakeLinks()
 }
 
 func (g *gossiper) wakeLinks() {
 	select {
-	case g.linkNow <- struct{}{}:
+	case g.linkWake <- struct{}{}:
 	default:
 	}
 }
 
 func (g *gossiper) leave() {
-	g.do(func() {
+	g.runOnCore(func() {
 		g.core.Leave()
-		g.core.Nudge(2 * nudges)
-		g.stale = true
+		g.core.Nudge(2 * nudgeFanout)
+		g.routesStale = true
 	})
 	g.wakeLinks()
 }
@@ -283,31 +283,31 @@
 // syncLoop is the duty of anti-entropy, and of joining.
 func (g *gossiper) syncLoop() {
 	for {
-		targets, next := g.due()
+		targets, next := g.dueSyncTargets()
 		for _, t := range targets {
-			go g.meet(t)
+			go g.syncAndRecord(t)
 		}
 		select {
-		case <-g.n.stop:
+		case <-g.node.stop:
 			return
-		case <-g.lookNow:
+		case <-g.syncWake:
 		case <-time.After(next):
 		}
 	}
 }
 
 // due returns the addresses to compare records with now, and the wait to the next.
-func (g *gossiper) due() ([]discovery.Target, time.Duration) {
+func (g *gossiper) dueSyncTargets() ([]discovery.Target, time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.finder.SetBootstrap(g.n.bootstrap())
-	targets := g.finder.Due(g.n.clock())
-	return targets, max(0, g.finder.Next()-g.n.clock())
+	g.finder.SetBootstrap(g.node.bootstrap())
+	targets := g.finder.Due(g.node.clock())
+	return targets, max(0, g.finder.Next()-g.node.clock())
 }
 
 // meet compares records with the node at an address.
-func (g *gossiper) meet(t discovery.Target) {
-	answer, err := g.sync(t)
+func (g *gossiper) syncAndRecord(t discovery.Target) {
+	answer, err := g.syncWith(t)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err != nil {
@@ -322,40 +322,40 @@
 
 // sync compares records with the node at an address. One of another failure
 // domain only tells who it is and whom it knows in this one.
-func (g *gossiper) sync(t discovery.Target) (discovery.Answer, error) {
+func (g *gossiper) syncWith(t discovery.Target) (discovery.Answer, error) {
 	var digest gossip.Digest
-	if !g.do(func() { digest = g.core.Digest() }) {
+	if !g.runOnCore(func() { digest = g.core.Digest() }) {
 		return discovery.Answer{}, fault.New(fault.Draining, "this node is stopping")
 	}
-	req := &control.SyncRequest{Addr: g.n.opt.AdvertiseControl, Domain: g.n.opt.Domain, Digest: digest, Config: g.n.conf.Load().version}
+	req := &control.SyncRequest{Addr: g.node.opt.AdvertiseControl, Domain: g.node.opt.Domain, Digest: digest, Config: g.node.conf.Load().version}
 	var reply control.SyncReply
-	if err := g.n.control.pool.Call(t.Addr, "Sync", req, &reply, t.Timeout); err != nil {
+	if err := g.node.control.pool.Call(t.Addr, "Sync", req, &reply, t.Timeout); err != nil {
 		return discovery.Answer{}, err
 	}
 	answer := discovery.Answer{Domain: reply.Domain, Seeds: reply.Seeds}
-	g.observeVersion(bySync, t.Addr, reply.Config)
-	if g.young() {
-		g.n.quarantine.adopt(reply.Held)
+	g.observeVersion(viaSync, t.Addr, reply.Config)
+	if g.recentlyStarted() {
+		g.node.quarantine.adopt(reply.Held)
 	}
-	if reply.Domain != g.n.opt.Domain {
-		g.n.control.links.Meet(reply.Domain, t.Addr)
+	if reply.Domain != g.node.opt.Domain {
+		g.node.control.links.Meet(reply.Domain, t.Addr)
 		return answer, nil
 	}
 	var mine []gossip.Record
-	g.do(func() {
-		g.core.Merge(g.n.clock(), reply.Records)
+	g.runOnCore(func() {
+		g.core.Merge(g.node.clock(), reply.Records)
 		mine = g.core.Differing(reply.Digest)
 	})
 	if len(mine) == 0 {
 		return answer, nil
 	}
 	req.Records = mine
-	return answer, g.n.control.pool.Call(t.Addr, "Sync", req, &control.SyncReply{}, t.Timeout)
+	return answer, g.node.control.pool.Call(t.Addr, "Sync", req, &control.SyncReply{}, t.Timeout)
 }
 
 // see tells the discovery what this node knows of others, and wakes its duty if
 // there is something to do sooner.
-func (g *gossiper) see(v *view) {
+func (g *gossiper) updateDiscovery(v *membershipView) {
 	var seen discovery.View
 	for i := range v.members {
 		if v.members[i].alive() {
@@ -363,32 +363,32 @@
 		}
 	}
 	for _, r := range v.replicas {
-		if r.Addr != g.n.opt.AdvertiseControl {
+		if r.Addr != g.node.opt.AdvertiseControl {
 			seen.Replicas = append(seen.Replicas, r.Addr)
 		}
 	}
 	g.mu.Lock()
 	before := g.finder.Next()
-	g.finder.See(g.n.clock(), seen)
+	g.finder.See(g.node.clock(), seen)
 	sooner := g.finder.Next() < before
 	g.mu.Unlock()
 	if !sooner {
 		return
 	}
 	select {
-	case g.lookNow <- struct{}{}:
+	case g.syncWake <- struct{}{}:
 	default:
 	}
 }
 
 // lost returns how many addresses are looked at.
-func (g *gossiper) lost() int {
+func (g *gossiper) lostAddresses() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.finder.Lost()
 }
 
-func (g *gossiper) young() bool { return discovery.Young(g.n.clock()) }
+func (g *gossiper) recentlyStarted() bool { return discovery.Young(g.node.clock()) }
 
 // meta is what this node says of itself.
 func (n *Node) meta() *member.Meta {
--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	raftTick       = 25 * time.Millisecond
-	electionTicks  = 20
-	heartbeatTicks = 3
-	maxBatch       = 256
-	inboxSize      = 4096
-	drainBatch     = 512
+	raftTickInterval = 25 * time.Millisecond
+	electionTicks    = 20
+	heartbeatTicks   = 3
+	maxAppendEntries = 256
+	inboxSize        = 4096
+	maxInboxBatch    = 512
 	// compactAfter is how many entries are kept before a snapshot.
-	compactAfter = 4096
+	compactionThreshold = 4096
 	// repairEvery is how many ticks lie between two looks at the members.
-	repairEvery = 20
+	membershipCheckTicks = 20
 	// unsettledEvery is the same while a change of the members is due.
-	unsettledEvery = 4
+	unsettledCheckTicks = 4
 	// caughtUp is how many entries a learner may lack to get a vote.
-	caughtUp = 16
+	maxPromotionLag = 16
 	// stallTicks is how long a sync may take before the disk counts as stalled.
 	stallTicks = 80
 )
@@ -35,20 +35,20 @@
 // group is one replica of one group: the duty that owns a raft core and its state
 // machine. Its folder is its writer's.
 type group struct {
-	id       int
-	replicas *replicas
-	core     *raft.Core
-	writer   *logWriter
-	sm       stateMachine
-	inbox    *ring.Ring[func()]
-	waiters  map[uint64]waiter
-	reads    map[uint64]chan raft.Read
-	waiting  []raft.Read
-	readID   uint64
-	ticks    int
-	role     raft.Role
-	life     chart.State
-	failed   bool
+	id             int
+	replicas       *replicas
+	core           *raft.Core
+	writer         *logWriter
+	sm             stateMachine
+	inbox          *ring.Ring[func()]
+	proposals      map[uint64]pendingProposal
+	pendingReads   map[uint64]chan raft.Read
+	unappliedReads []raft.Read
+	lastReadID     uint64
+	ticks          int
+	role           raft.Role
+	chartState     chart.State
+	failed         bool
 	// compacting tells whether a compaction is being written.
 	compacting bool
 	// stall is what is known of disks that do not answer.
@@ -60,18 +60,18 @@
 	applied    atomic.Uint64
 	// settled is false while this replica leads and a change of the members is
 	// due, and bears tells whether the group commits on after one more loss.
-	settled, bears atomic.Bool
+	settled, toleratesFailure atomic.Bool
 	// exposedSince is since when the group does not bear a loss, and repairTook how
 	// long it was so the last time, in nanoseconds.
-	exposedSince time.Time
-	repairTook   atomic.Int64
+	vulnerableSince time.Time
+	lastRepairTime  atomic.Int64
 	// savingFor is how long the save under way has taken, in nanoseconds, and stalled
 	// tells whether a quorum of disks stalls.
-	savingFor atomic.Int64
-	stalled   atomic.Bool
+	saveTime atomic.Int64
+	stalled  atomic.Bool
 }
 
-type waiter struct {
+type pendingProposal struct {
 	term uint64
 	done chan []byte
 }
@@ -79,10 +79,10 @@
 func openGroup(r *replicas, id int, w *logWriter, l wal.Loaded, m stateMachine) (*group, error) {
 	g := &group{
 		id: id, replicas: r, writer: w, sm: m, inbox: ring.New[func()](inboxSize),
-		waiters: map[uint64]waiter{}, reads: map[uint64]chan raft.Read{},
+		proposals: map[uint64]pendingProposal{}, pendingReads: map[uint64]chan raft.Read{},
 	}
 	g.core = raft.New(raft.Options{
-		ID: r.id, Election: electionTicks, Heartbeat: heartbeatTicks, MaxBatch: maxBatch, Stall: stallTicks,
+		ID: r.id, Election: electionTicks, Heartbeat: heartbeatTicks, MaxBatch: maxAppendEntries, Stall: stallTicks,
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}, l.State, l.Snapshot, l.Entries)
 	if err := m.restore(l.Snapshot.Data); err != nil {
@@ -94,28 +94,28 @@
 // run is the group's duty. It never waits for the disk, so that a replica whose disk
 // stalls goes on answering.
 func (g *group) run() {
-	t := time.NewTicker(raftTick)
+	t := time.NewTicker(raftTickInterval)
 	defer t.Stop()
-	g.note()
+	g.publishStatus()
 	for {
 		select {
 		case <-g.replicas.node.stop:
 			return
 		case f := <-g.inbox.C():
 			f()
-			g.drain()
+			g.drainInbox()
 		case w := <-g.writer.written.C():
 			g.completeWrite(w)
 		case <-t.C:
 			g.tick()
 		}
-		g.work()
+		g.processReady()
 	}
 }
 
 // drain takes in what else waits, so that one sync serves many commands.
-func (g *group) drain() {
-	for range drainBatch {
+func (g *group) drainInbox() {
+	for range maxInboxBatch {
 		select {
 		case f := <-g.inbox.C():
 			f()
@@ -131,50 +131,50 @@
 	g.watchDisks()
 	if g.core.Role() != raft.Leader {
 		g.settled.Store(true)
-		g.exposedSince = time.Time{}
+		g.vulnerableSince = time.Time{}
 		return
 	}
-	if g.ticks%unsettledEvery == 0 {
-		g.lookAtMembers()
+	if g.ticks%unsettledCheckTicks == 0 {
+		g.checkMembership()
 	}
 }
 
 // lookAtMembers makes the next change of the membership if one is due. It looks
 // closely while the group is not as it should be: between two changes of one
 // repair, a further loss can cost the quorum.
-func (g *group) lookAtMembers() {
-	members, opt := g.members(), g.repairOptions()
+func (g *group) checkMembership() {
+	members, opt := g.membershipState(), g.repairOptions()
 	settled := repair.Settled(members, opt)
 	g.settled.Store(settled)
-	g.noteBearing(repair.BearsLoss(members, opt))
-	if settled && g.ticks%repairEvery != 0 {
+	g.trackFailureTolerance(repair.BearsLoss(members, opt))
+	if settled && g.ticks%membershipCheckTicks != 0 {
 		return
 	}
-	g.repair(members, opt)
+	g.proposeMembershipChange(members, opt)
 }
 
 // noteBearing keeps how long the group could not bear a loss.
-func (g *group) noteBearing(bears bool) {
+func (g *group) trackFailureTolerance(bears bool) {
 	switch {
-	case !bears && g.exposedSince.IsZero():
-		g.exposedSince = time.Now()
-	case bears && !g.exposedSince.IsZero():
-		took := time.Since(g.exposedSince)
-		g.exposedSince = time.Time{}
-		g.repairTook.Store(int64(took))
+	case !bears && g.vulnerableSince.IsZero():
+		g.vulnerableSince = time.Now()
+	case bears && !g.vulnerableSince.IsZero():
+		took := time.Since(g.vulnerableSince)
+		g.vulnerableSince = time.Time{}
+		g.lastRepairTime.Store(int64(took))
 		g.replicas.node.logEvent("replica", "Group "+formatUint(uint64(g.id))+": it bears a loss again after "+took.Round(time.Millisecond).String()+".")
 	}
-	g.bears.Store(bears)
+	g.toleratesFailure.Store(bears)
 }
 
 // work does what the core wants done, in the order that its promises need.
-func (g *group) work() {
+func (g *group) processReady() {
 	for !g.failed {
 		rd := g.core.Ready()
 		if rd.Empty() {
 			break
 		}
-		g.replicas.send(g, rd.Early)
+		g.replicas.sendMessages(g, rd.Early)
 		if rd.Snapshot != nil {
 			if err := g.sm.restore(rd.Snapshot.Data); err != nil {
 				g.fail(err)
@@ -184,15 +184,15 @@
 		if rd.MustSave() {
 			g.writer.jobs.Offer(writeJob{ready: rd})
 		} else {
-			g.replicas.send(g, rd.Messages)
+			g.replicas.sendMessages(g, rd.Messages)
 		}
 		for i := range rd.Committed {
-			g.apply(&rd.Committed[i])
+			g.applyEntry(&rd.Committed[i])
 		}
-		g.answerReads(rd.Reads)
+		g.completeReads(rd.Reads)
 	}
-	g.note()
-	g.compact()
+	g.publishStatus()
+	g.startCompaction()
 }
 
 // finish takes in that the writer ended a job: what waited for it is sent.
@@ -205,7 +205,7 @@
 		g.compacting = false
 	default:
 		g.core.Advance(w.job.ready)
-		g.replicas.send(g, w.job.ready.Messages)
+		g.replicas.sendMessages(g, w.job.ready.Messages)
 	}
 }
 
@@ -213,21 +213,21 @@
 // on: the next start finds the damage and comes back under a new identity.
 func (g *group) fail(err error) {
 	g.failed = true
-	g.happen(diskFailed)
+	g.applyEvent(eventDiskFailed)
 	g.leads.Store(false)
 	g.replicas.node.logEvent("replica", "Stopped, its disk failed: "+err.Error())
 }
 
-func (g *group) apply(e *raft.Entry) {
+func (g *group) applyEntry(e *raft.Entry) {
 	var result []byte
 	if e.Type == raft.EntryData && len(e.Data) > 0 {
 		result = g.sm.apply(e.Data)
 	}
-	w, ok := g.waiters[e.Index]
+	w, ok := g.proposals[e.Index]
 	if !ok {
 		return
 	}
-	delete(g.waiters, e.Index)
+	delete(g.proposals, e.Index)
 	if w.term != e.Term {
 		// Another leader's entry took the place: the command is lost.
 		close(w.done)
@@ -236,29 +236,29 @@
 	w.done <- result
 }
 
-func (g *group) answerReads(rs []raft.Read) {
-	g.waiting = append(g.waiting, rs...)
-	kept := g.waiting[:0]
-	for _, r := range g.waiting {
+func (g *group) completeReads(rs []raft.Read) {
+	g.unappliedReads = append(g.unappliedReads, rs...)
+	kept := g.unappliedReads[:0]
+	for _, r := range g.unappliedReads {
 		if r.OK && r.Index > g.core.Applied() {
 			kept = append(kept, r)
 			continue
 		}
-		if done := g.reads[r.ID]; done != nil {
-			delete(g.reads, r.ID)
+		if done := g.pendingReads[r.ID]; done != nil {
+			delete(g.pendingReads, r.ID)
 			done <- r
 		}
 	}
-	g.waiting = kept
+	g.unappliedReads = kept
 }
 
 // note publishes what other duties may know of the group.
-func (g *group) note() {
+func (g *group) publishStatus() {
 	g.applied.Store(g.core.Applied())
 	g.leads.Store(g.core.Role() == raft.Leader)
 	conf := g.core.Conf()
 	g.conf.Store(&conf)
-	addr := g.replicas.addrOf(conf, g.core.Leader())
+	addr := g.replicas.memberAddr(conf, g.core.Leader())
 	g.leaderAddr.Store(&addr)
 	if role := g.core.Role(); role != g.role {
 		if role == raft.Leader || g.role == raft.Leader {
@@ -272,27 +272,27 @@
 // so a leader that stands again was a follower meanwhile.
 func (g *group) changeRole(role raft.Role) {
 	if g.role == raft.Leader && role != raft.Follower {
-		g.happen(roleEvents[raft.Follower])
+		g.applyEvent(roleEvents[raft.Follower])
 	}
-	g.happen(roleEvents[role])
+	g.applyEvent(roleEvents[role])
 	g.role = role
 }
 
 // happen takes an event of the replica chart in. A change of role that the
 // chart does not have is said so: the chart or the core is wrong.
-func (g *group) happen(e chart.Event) {
-	next, ok := replicaChart.Next(g.life, e)
+func (g *group) applyEvent(e chart.Event) {
+	next, ok := replicaChart.Next(g.chartState, e)
 	if !ok {
-		g.replicas.node.warn("replica", "A change of role is not in the chart.", "state", replicaChart.Text(g.life))
+		g.replicas.node.warn("replica", "A change of role is not in the chart.", "state", replicaChart.Text(g.chartState))
 		return
 	}
-	g.life = next
+	g.chartState = next
 }
 
 // compact has the log replaced by a snapshot once it is long. Between two saves the
 // core has nothing that is not persisted.
-func (g *group) compact() {
-	if g.failed || g.compacting || g.core.LogLen() < compactAfter {
+func (g *group) startCompaction() {
+	if g.failed || g.compacting || g.core.LogLen() < compactionThreshold {
 		return
 	}
 	if g.core.Saving() {
@@ -312,7 +312,7 @@
 }
 
 // members is what the decision about the membership looks at.
-func (g *group) members() repair.Group {
+func (g *group) membershipState() repair.Group {
 	conf := g.core.Conf()
 	health := map[string]repair.Health{}
 	for _, p := range append(append([]raft.Peer(nil), conf.Voters...), conf.Learners...) {
@@ -322,21 +322,21 @@
 				// may be at work on a large snapshot.
 				ticks = max(ticks, g.core.Unsaved(p.ID))
 			}
-			health[p.ID] = repair.Health{Silent: time.Duration(ticks) * raftTick, Lag: lag}
+			health[p.ID] = repair.Health{Silent: time.Duration(ticks) * raftTickInterval, Lag: lag}
 		}
 	}
-	return repair.Group{Conf: conf, Self: g.replicas.id, Health: health, Candidates: g.replicas.verified()}
+	return repair.Group{Conf: conf, Self: g.replicas.id, Health: health, Candidates: g.replicas.verifiedReplicas()}
 }
 
 func (g *group) repairOptions() repair.Options {
 	o := &g.replicas.node.opt
 	return repair.Options{
-		Target: o.Replicas, SuspectAfter: o.SuspectAfter.Duration, ReplaceAfter: o.ReplaceAfter.Duration, MaxLag: caughtUp,
+		Target: o.Replicas, SuspectAfter: o.SuspectAfter.Duration, ReplaceAfter: o.ReplaceAfter.Duration, MaxLag: maxPromotionLag,
 	}
 }
 
 // repair makes the next change of the membership, if there is one to make.
-func (g *group) repair(members repair.Group, opt repair.Options) {
+func (g *group) proposeMembershipChange(members repair.Group, opt repair.Options) {
 	if g.core.ConfPending() {
 		return
 	}
@@ -351,7 +351,7 @@
 }
 
 // post hands f to the group's goroutine; false if it is too far behind.
-func (g *group) post(f func()) bool { return g.inbox.Offer(f) }
+func (g *group) enqueue(f func()) bool { return g.inbox.Offer(f) }
 
 // propose has a command applied and returns its result.
 func (g *group) propose(command []byte, wait time.Duration) ([]byte, error) {
@@ -361,7 +361,7 @@
 	}
 	started := make(chan start, 1)
 	done := make(chan []byte, 1)
-	ok := g.post(func() {
+	ok := g.enqueue(func() {
 		if g.core.Role() != raft.Leader || g.failed {
 			started <- start{err: fault.New(fault.NotLeader, "this replica does not lead")}
 			return
@@ -374,14 +374,14 @@
 			started <- start{err: fault.New(fault.NoQuorum, "the disks of too many replicas do not answer")}
 			return
 		}
-		result, err := g.sm.check(command)
+		result, err := g.sm.precheck(command)
 		if err != nil || result != nil {
 			started <- start{result, err}
 			return
 		}
 		index, term, err := g.core.Propose(command)
 		if err == nil {
-			g.waiters[index] = waiter{term, done}
+			g.proposals[index] = pendingProposal{term, done}
 		}
 		started <- start{err: err}
 	})
@@ -411,12 +411,12 @@
 
 // read waits until the state machine reflects all that was committed before,
 // and runs f on it.
-func (g *group) read(wait time.Duration, f func()) error {
+func (g *group) readLinearizable(wait time.Duration, f func()) error {
 	done := make(chan raft.Read, 1)
-	ok := g.post(func() {
-		g.readID++
-		g.reads[g.readID] = done
-		g.core.ReadIndex(g.readID)
+	ok := g.enqueue(func() {
+		g.lastReadID++
+		g.pendingReads[g.lastReadID] = done
+		g.core.ReadIndex(g.lastReadID)
 	})
 	if !ok {
 		return fault.New(fault.Overload, "the replica's inbox is full")
@@ -432,7 +432,7 @@
 		return fault.New(fault.NoQuorum, "no quorum confirmed the read in time")
 	}
 	ran := make(chan struct{})
-	if !g.post(func() { f(); close(ran) }) {
+	if !g.enqueue(func() { f(); close(ran) }) {
 		return fault.New(fault.Overload, "the replica's inbox is full")
 	}
 	select {
--- a/internal/node/life.go
+++ b/internal/node/life.go
@@ -11,28 +11,28 @@
 
 // The charts that the node runs by, and their events.
 var (
-	nodeChart  = chart.MustLoad("node")
-	configured = nodeChart.Event("configured")
-	drain      = nodeChart.Event("drain")
-	undrain    = nodeChart.Event("undrain")
-	stopEvent  = nodeChart.Event("stop")
-	idle       = nodeChart.Event("idle")
-	timedOut   = nodeChart.Event("timeout")
+	nodeChart       = chart.MustLoad("node")
+	eventConfigured = nodeChart.Event("configured")
+	eventDrain      = nodeChart.Event("drain")
+	eventUndrain    = nodeChart.Event("undrain")
+	eventStop       = nodeChart.Event("stop")
+	eventIdle       = nodeChart.Event("idle")
+	eventTimeout    = nodeChart.Event("timeout")
 
 	nodeServing = nodeChart.State("serving")
 	nodeLeaving = nodeChart.State("leaving")
 	nodeStopped = nodeChart.State("stopped")
 
-	backendChart = chart.MustLoad("backend")
-	backendSays  = map[member.State]chart.Event{
+	backendChart  = chart.MustLoad("backend")
+	backendEvents = map[member.State]chart.Event{
 		member.Starting: backendChart.Event("say-starting"),
 		member.Serving:  backendChart.Event("say-serving"),
 		member.Draining: backendChart.Event("say-draining"),
 	}
 
-	replicaChart = chart.MustLoad("replica")
-	diskFailed   = replicaChart.Event("disk-failed")
-	roleEvents   = map[raft.Role]chart.Event{
+	replicaChart    = chart.MustLoad("replica")
+	eventDiskFailed = replicaChart.Event("disk-failed")
+	roleEvents      = map[raft.Role]chart.Event{
 		raft.Follower:     replicaChart.Event("step-down"),
 		raft.PreCandidate: replicaChart.Event("campaign"),
 		raft.Candidate:    replicaChart.Event("promising"),
@@ -105,14 +105,14 @@
 	case nodeServing:
 		return false
 	case nodeLeaving:
-		return n.withdrawn.Load()
+		return n.departureAnnounced.Load()
 	default:
 		return true
 	}
 }
 
 // backendState is the member state of a state of the backend chart.
-func backendState(s chart.State) member.State {
+func backendMemberState(s chart.State) member.State {
 	state, _ := member.ParseState(backendChart.Text(s))
 	return state
 }
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -13,11 +13,11 @@
 
 const (
 	// linking is how many members link a failure domain to the others.
-	linking = 3
+	linkMemberCount = 3
 	// linkPeriod is the time between two exchanges with each other domain.
-	linkPeriod = time.Second
+	linkInterval = time.Second
 	// youngLinkPeriod is the same in a young process.
-	youngLinkPeriod = 250 * time.Millisecond
+	startupLinkInterval = 250 * time.Millisecond
 	// linkTimeout bounds one exchange: many round trips between domains, and
 	// short, as a domain that is cut off must be noticed within seconds.
 	linkTimeout = 600 * time.Millisecond
@@ -27,18 +27,18 @@
 // link the domain at the moment have anything to do.
 func (n *Node) linkLoop() {
 	for {
-		period := linkPeriod
-		if n.gossip.young() {
-			period = youngLinkPeriod
+		period := linkInterval
+		if n.gossip.recentlyStarted() {
+			period = startupLinkInterval
 		}
 		select {
 		case <-n.stop:
 			return
-		case <-n.gossip.linkNow:
+		case <-n.gossip.linkWake:
 		case <-time.After(period):
 		}
 		if ids, addrs := n.linkMembers(); slices.Contains(ids, n.id) {
-			n.exchangeAll(addrs)
+			n.exchangeWithAll(addrs)
 		}
 	}
 }
@@ -54,7 +54,7 @@
 			all = append(all, m.ID)
 		}
 	}
-	ids = member.Linking(all, linking)
+	ids = member.Linking(all, linkMemberCount)
 	for _, id := range ids {
 		addrs = append(addrs, byID[id])
 	}
@@ -63,25 +63,25 @@
 
 // exchangeAll talks to each other domain, without waiting: one that is cut off must
 // not hold up the others, nor what the next change has to tell them.
-func (n *Node) exchangeAll(own []string) {
-	for domain, addr := range n.linkTargets() {
+func (n *Node) exchangeWithAll(own []string) {
+	for domain, addr := range n.domainAddrs() {
 		if domain != n.opt.Domain && n.control.links.Begin(domain) {
-			go n.exchangeWhileNews(domain, addr, own)
+			go n.exchangeUntilCurrent(domain, addr, own)
 		}
 	}
 }
 
 // exchangeWhileNews exchanges with a domain until there is no news for it, first
 // at addr.
-func (n *Node) exchangeWhileNews(domain, addr string, own []string) {
-	n.exchange(domain, addr, own)
+func (n *Node) exchangeUntilCurrent(domain, addr string, own []string) {
+	n.exchangeWith(domain, addr, own)
 	for n.control.links.End(domain) {
-		n.exchange(domain, n.linkTargets()[domain], own)
+		n.exchangeWith(domain, n.domainAddrs()[domain], own)
 	}
 }
 
 // linkTargets returns an address in each domain that is known.
-func (n *Node) linkTargets() map[string]string {
+func (n *Node) domainAddrs() map[string]string {
 	out := n.control.links.Targets(n.view.Load().domains)
 	out[n.opt.Domain] = n.opt.AdvertiseControl
 	return out
@@ -89,7 +89,7 @@
 
 // domainsFor returns the failure domains to tell a node that knows so many.
 func (n *Node) domainsFor(known int) (own int, tell map[string]string) {
-	all := n.linkTargets()
+	all := n.domainAddrs()
 	if known < len(all) {
 		tell = all
 	}
@@ -105,46 +105,46 @@
 	}
 }
 
-func (n *Node) exchange(domain, addr string, own []string) {
+func (n *Node) exchangeWith(domain, addr string, own []string) {
 	l := n.control.links
 	id := l.At(addr)
 	req := &control.ExchangeRequest{Domain: n.opt.Domain, Control: own, Config: n.conf.Load().version, Addr: n.opt.AdvertiseControl, ID: n.id}
-	req.Records, req.UpTo = l.Unsent(id, n.summaries())
+	req.Records, req.UpTo = l.Unsent(id, n.serviceSummaries())
 	req.HaveOf, req.Have = id, l.HaveOf(id)
 	req.Known, req.Domains = n.domainsFor(l.KnownBy(id))
 	var reply control.ExchangeReply
 	err := n.control.pool.Call(addr, "Exchange", req, &reply, linkTimeout)
 	if err != nil || reply.Domain != domain {
-		n.linkFailed(domain)
+		n.recordLinkFailure(domain)
 		return
 	}
 	l.Met(domain, addr, &reply)
 	n.learnDomains(reply.Domains)
-	n.takeExchange(domain, reply.Control, reply.Records)
-	n.gossip.observeVersion(byExchange, addr, reply.Config)
+	n.mergeExchange(domain, reply.Control, reply.Records)
+	n.gossip.observeVersion(viaExchange, addr, reply.Config)
 }
 
 // takeExchange spreads within this domain what another told of itself.
-func (n *Node) takeExchange(domain string, controls []string, records []gossip.Record) {
+func (n *Node) mergeExchange(domain string, controls []string, records []gossip.Record) {
 	prefix := member.SummaryKey(domain, "")
-	n.gossip.post(func() {
+	n.gossip.postToCore(func() {
 		for _, r := range records {
 			if len(r.Key) <= len(prefix) || r.Key[:len(prefix)] != prefix {
 				continue
 			}
 			if n.gossip.core.Publish(r) && member.IsEnded(r.Key) {
 				// A request that ends servers must not wait for the next probe.
-				n.gossip.core.Nudge(nudges)
+				n.gossip.core.Nudge(nudgeFanout)
 			}
 		}
 	})
 	n.publishLink(member.Link{Domain: domain, By: n.id, Reachable: true, Control: controls})
 }
 
-func (n *Node) linkFailed(domain string) {
-	if n.control.links.Failed(domain) >= maxFailedInARow {
+func (n *Node) recordLinkFailure(domain string) {
+	if n.control.links.Failed(domain) >= maxLinkFailures {
 		d := n.view.Load().domains[domain]
-		n.publishLink(member.Link{Domain: domain, By: n.id, Control: dedup(d.Control)})
+		n.publishLink(member.Link{Domain: domain, By: n.id, Control: sortedUnique(d.Control)})
 	}
 }
 
@@ -153,7 +153,7 @@
 	key := member.LinkKey(l.Domain, n.id)
 	sort.Strings(l.Control)
 	payload := l.Encode()
-	n.gossip.post(func() {
+	n.gossip.postToCore(func() {
 		old, known := n.gossip.core.Get(key)
 		if known && bytes.Equal(old.Payload, payload) {
 			return
@@ -162,7 +162,7 @@
 	})
 }
 
-func dedup(in []string) []string {
+func sortedUnique(in []string) []string {
 	sort.Strings(in)
 	var out []string
 	for i, v := range in {
@@ -174,7 +174,7 @@
 }
 
 // summaries returns what this domain tells the others about its services.
-func (n *Node) summaries() []member.Summary {
+func (n *Node) serviceSummaries() []member.Summary {
 	byService := map[string][]member.Remote{}
 	if be := n.local.Load(); be != nil && be.state == member.Serving && !n.rejectsNewWork() {
 		byService[be.service] = append(byService[be.service], member.Remote{ID: n.id, Addr: n.opt.AdvertiseData, Slots: be.slots, Weight: be.weight, Start: be.start})
--- a/internal/node/news.go
+++ b/internal/node/news.go
@@ -8,99 +8,99 @@
 )
 
 // newsWay is how a node heard of a version of the settings.
-type newsWay string
+type versionSource string
 
 const (
 	// byPacket: a packet of the gossip carries its sender's version.
-	byPacket newsWay = "packet"
+	viaPacket versionSource = "packet"
 	// bySync: two nodes compared their records.
-	bySync newsWay = "sync"
+	viaSync versionSource = "sync"
 	// byExchange: two failure domains exchanged what they say of themselves.
-	byExchange newsWay = "exchange"
+	viaExchange versionSource = "exchange"
 	// byAnswer: an operator's order was answered by a replica.
-	byAnswer newsWay = "answer"
+	viaReplicaAnswer versionSource = "answer"
 	// byDisk: the replica on this node's disk has applied it.
-	byDisk newsWay = "disk"
+	viaDisk versionSource = "disk"
 )
 
 // news is what a node remembers of the settings that others have, so that a
 // late version can be explained: when it was heard of, how and from whom. It
 // is safe for concurrent use.
-type news struct {
+type versionTracker struct {
 	mu sync.Mutex
 	// version is the highest that was heard of while it was not in force.
-	version uint64
-	since   time.Duration
-	way     newsWay
-	from    string
+	pending      uint64
+	pendingSince time.Duration
+	source       versionSource
+	from         string
 	// late is how long the last version took from being heard of to being in
 	// force.
-	late time.Duration
+	lastDelay time.Duration
 	// known tells whether a replica is known, and unknown since when none was, on
 	// the node's clock.
-	known   bool
-	unknown time.Duration
+	replicaKnown  bool
+	replicaLostAt time.Duration
 }
 
 // heard notes a version that is newer than the one in force.
-func (w *news) heard(now time.Duration, version, inForce uint64, way newsWay, from string) {
+func (t *versionTracker) observe(now time.Duration, version, inForce uint64, way versionSource, from string) {
 	if version <= inForce {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.version > inForce {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.pending > inForce {
 		// The wait counts from the first version that was missing.
 		return
 	}
-	w.version, w.since, w.way, w.from = version, now, way, from
+	t.pending, t.pendingSince, t.source, t.from = version, now, way, from
 }
 
 // force tells, for a version that comes into force, how long ago the node heard
 // that it was behind, how and from whom; a version that nobody told of before
 // comes from the disk.
-func (w *news) force(now time.Duration, version uint64) (late time.Duration, way newsWay, from string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.version == 0 {
-		w.late = 0
-		return 0, byDisk, ""
+func (t *versionTracker) activate(now time.Duration, version uint64) (late time.Duration, way versionSource, from string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.pending == 0 {
+		t.lastDelay = 0
+		return 0, viaDisk, ""
 	}
-	late, way, from = now-w.since, w.way, w.from
-	w.late = late
-	if version >= w.version {
-		w.version = 0
+	late, way, from = now-t.pendingSince, t.source, t.from
+	t.lastDelay = late
+	if version >= t.pending {
+		t.pending = 0
 	}
 	return late, way, from
 }
 
 // last returns how long the last version took from being heard of to being in
 // force.
-func (w *news) last() time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.late
+func (t *versionTracker) activationDelay() time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.lastDelay
 }
 
 // sees notes whether a replica is known. It returns true if that changed, and
 // after how long one is known again.
-func (w *news) sees(now time.Duration, known bool) (changed bool, after time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if known == w.known {
+func (t *versionTracker) observeReplicas(now time.Duration, known bool) (changed bool, after time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if known == t.replicaKnown {
 		return false, 0
 	}
-	w.known = known
+	t.replicaKnown = known
 	if known {
-		return true, now - w.unknown
+		return true, now - t.replicaLostAt
 	}
-	w.unknown = now
+	t.replicaLostAt = now
 	return true, 0
 }
 
 // watchReplicas logs when the last known replica is lost and one is known again.
-func (n *Node) watchReplicas(replicas []raft.Peer) {
-	changed, after := n.news.sees(n.clock(), len(replicas) > 0)
+func (n *Node) logReplicaAvailability(replicas []raft.Peer) {
+	changed, after := n.versions.observeReplicas(n.clock(), len(replicas) > 0)
 	switch {
 	case !changed:
 	case len(replicas) > 0:
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -49,7 +49,7 @@
 	confMu sync.Mutex
 
 	routes atomic.Pointer[route.Snapshot]
-	view   atomic.Pointer[view]
+	view   atomic.Pointer[membershipView]
 	// entered holds the paths of requests that entered here, nested those of
 	// the calls that the backend server beside this node makes. They must be
 	// apart: what is reported to the nodes above is only what lies below, or
@@ -57,30 +57,30 @@
 	entryLevels, nestedLevels pathlevel.Table
 	peers                     peers
 	kinds                     kindTable
-	retryShares               sync.Map // service -> *budget.Share
-	waits                     sync.Map // called service -> *admission.Waits
+	retryThrottles            sync.Map // service -> *budget.Share
+	bulkheads                 sync.Map // called service -> *admission.Waits
 
 	gate              *gate
 	local             atomic.Pointer[local]
 	localMu           sync.Mutex
 	executionsByToken sync.Map // token -> *work
-	tokens            atomic.Uint64
+	lastToken         atomic.Uint64
 
 	lastAttemptID atomic.Uint64
 	state         atomicState
 	// seeds are control addresses of some nodes, from the settings.
-	seeds atomic.Pointer[[]string]
+	bootstrapAddrs atomic.Pointer[[]string]
 	// stopAt is when the node began to stop, on its clock.
 	stopStarted atomic.Int64
 	// withdrawn is set once a stopping node has told others that it leaves.
-	withdrawn atomic.Bool
+	departureAnnounced atomic.Bool
 	// retired are the identities of backend servers that stood here before,
 	// guarded by localMu.
-	retired map[string]retirement
+	retiredIncarnations map[string]retiredIncarnation
 	// backendStarts counts the starts of backend servers beside this node.
-	backendStarts uint32
+	backendIncarnations uint32
 
-	news       news
+	versions   versionTracker
 	quarantine *quarantiner
 	stats      stats
 	latencies  latency.Table
@@ -100,18 +100,18 @@
 	control  *controlServer
 
 	// dial and mayDatagram are the network, which tests cut.
-	dial        control.Dialer
-	mayDatagram func(addr string) bool
+	dial          control.Dialer
+	allowDatagram func(addr string) bool
 
 	stop chan struct{}
 	wg   sync.WaitGroup
 }
 
 const (
-	keptTraces = 4096
-	keptEvents = 512
-	idleMax    = 2 * time.Minute
-	upkeep     = 250 * time.Millisecond
+	maxTraces           = 4096
+	maxEvents           = 512
+	connIdleTimeout     = 2 * time.Minute
+	maintenanceInterval = 250 * time.Millisecond
 
 	headerTimeout  = 5 * time.Second
 	maxHeaderBytes = 32 << 10
@@ -124,17 +124,17 @@
 	}
 	n := &Node{
 		opt: o, id: newID(), log: logger, start: time.Now(),
-		traces: newLast[Trace](keptTraces), events: newLast[Event](keptEvents),
-		burn: burn.NewBook(), retired: map[string]retirement{}, stop: make(chan struct{}),
-		dial: control.DialTCP, mayDatagram: func(string) bool { return true },
+		traces: newLast[Trace](maxTraces), events: newLast[Event](maxEvents),
+		burn: burn.NewBook(), retiredIncarnations: map[string]retiredIncarnation{}, stop: make(chan struct{}),
+		dial: control.DialTCP, allowDatagram: func(string) bool { return true },
 	}
 	n.quarantine = newQuarantiner(n)
-	n.seeds.Store(&o.Bootstrap)
+	n.bootstrapAddrs.Store(&o.Bootstrap)
 	n.gate = newGate(n.clock)
 	n.peers.dial = func(addr string, timeout time.Duration) (net.Conn, error) { return n.dial(addr, timeout) }
 	n.conf.Store(emptyConfig())
 	n.routes.Store(&route.Snapshot{})
-	n.view.Store(&view{})
+	n.view.Store(&membershipView{})
 	n.gossip = newGossiper(n)
 	var err error
 	n.replicas, err = openReplicas(n)
@@ -152,14 +152,14 @@
 func (n *Node) ID() string { return n.id }
 
 // SetBootstrap replaces the control addresses of some nodes.
-func (n *Node) SetBootstrap(addrs []string) { n.seeds.Store(&addrs) }
+func (n *Node) SetBootstrap(addrs []string) { n.bootstrapAddrs.Store(&addrs) }
 
-func (n *Node) bootstrap() []string { return *n.seeds.Load() }
+func (n *Node) bootstrap() []string { return *n.bootstrapAddrs.Load() }
 
 // clock is the time since the start of the process, monotonic.
 func (n *Node) clock() time.Duration { return time.Since(n.start) }
 
-func (n *Node) newToken() string { return n.id + "-" + strconv.FormatUint(n.tokens.Add(1), 36) }
+func (n *Node) newToken() string { return n.id + "-" + strconv.FormatUint(n.lastToken.Add(1), 36) }
 
 // Start listens on all addresses and begins the duties. It returns once the
 // node serves.
@@ -168,28 +168,28 @@
 	if err != nil {
 		return err
 	}
-	n.wireSrv = wire.NewServer(n.serveExchange, wire.ServerOptions{Heartbeat: n.opt.Heartbeat.Duration, Sweep: n.opt.Sweep.Duration, IdleTimeout: idleMax})
+	n.wireSrv = wire.NewServer(n.serveExchange, wire.ServerOptions{Heartbeat: n.opt.Heartbeat.Duration, Sweep: n.opt.Sweep.Duration, IdleTimeout: connIdleTimeout})
 	n.adminSrv = &http.Server{Handler: n.adminRoutes(), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes}
-	n.httpSrv = &http.Server{Handler: n.callerRoutes(), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleMax, ConnContext: callers.Context}
+	n.httpSrv = &http.Server{Handler: n.callerRoutes(), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTimeout: connIdleTimeout, ConnContext: callers.Context}
 	n.control = newControlServer(n)
-	n.duty("gossip", func() { n.gossip.run(lns.udp) })
-	n.serve("control", func() error { return n.control.serve(lns.control) })
-	n.duty("links", n.linkLoop)
-	n.duty("upkeep", n.upkeepLoop)
-	n.duty("refresh", n.refreshLoop)
-	n.duty("find", n.findLoop)
+	n.startTask("gossip", func() { n.gossip.run(lns.udp) })
+	n.serveInBackground("control", func() error { return n.control.serve(lns.control) })
+	n.startTask("links", n.linkLoop)
+	n.startTask("upkeep", n.maintenanceLoop)
+	n.startTask("refresh", n.refreshPeersLoop)
+	n.startTask("find", n.probeLostPeersLoop)
 	n.replicas.start()
 	if n.opt.FormGroups {
-		n.duty("found", n.found)
+		n.startTask("found", n.formOnFirstStart)
 	}
-	n.serve("admin", func() error { return n.adminSrv.Serve(lns.admin) })
+	n.serveInBackground("admin", func() error { return n.adminSrv.Serve(lns.admin) })
 	n.awaitConfig()
-	n.state.applyEvent(nodeChart, configured)
+	n.state.applyEvent(nodeChart, eventConfigured)
 	n.publishMeta()
-	n.serve("data", func() error { return n.wireSrv.Serve(lns.data) })
+	n.serveInBackground("data", func() error { return n.wireSrv.Serve(lns.data) })
 	arrivals := callers.Listen(lns.http)
-	n.duty("callers", func() { n.every(n.opt.Sweep.Duration, func(time.Time) { arrivals.Sweep() }) })
-	n.serve("http", func() error { return n.httpSrv.Serve(arrivals) })
+	n.startTask("callers", func() { n.runEvery(n.opt.Sweep.Duration, func(time.Time) { arrivals.Sweep() }) })
+	n.serveInBackground("http", func() error { return n.httpSrv.Serve(arrivals) })
 	n.info("node", "Serving.", "name", n.opt.Name, "failure_domain", n.opt.Domain, "http", n.opt.HTTP)
 	return nil
 }
@@ -222,7 +222,7 @@
 	return &lns, nil
 }
 
-func (n *Node) duty(_ string, run func()) {
+func (n *Node) startTask(_ string, run func()) {
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
@@ -230,7 +230,7 @@
 	}()
 }
 
-func (n *Node) serve(part string, run func() error) {
+func (n *Node) serveInBackground(part string, run func() error) {
 	go func() {
 		err := run()
 		if err != nil && !errors.Is(err, net.ErrClosed) && !errors.Is(err, http.ErrServerClosed) {
@@ -240,7 +240,7 @@
 }
 
 // every runs a duty's work at a fixed interval until the node stops.
-func (n *Node) every(d time.Duration, work func(now time.Time)) {
+func (n *Node) runEvery(d time.Duration, work func(now time.Time)) {
 	t := time.NewTicker(d)
 	defer t.Stop()
 	for {
@@ -254,26 +254,26 @@
 }
 
 // upkeepLoop is the duty that ends leases and notes overloads.
-func (n *Node) upkeepLoop() {
-	n.every(upkeep, func(now time.Time) {
-		n.checkLease(now)
-		n.watchLevel(now)
+func (n *Node) maintenanceLoop() {
+	n.runEvery(maintenanceInterval, func(now time.Time) {
+		n.expireLease(now)
+		n.trackOverload(now)
 		n.quarantine.tidy()
 	})
 }
 
 // refreshLoop is the duty that keeps idle connections known to be alive. A
 // silent one holds it up for a while, and nothing else.
-func (n *Node) refreshLoop() {
-	n.every(upkeep, func(time.Time) { n.peers.refresh() })
+func (n *Node) refreshPeersLoop() {
+	n.runEvery(maintenanceInterval, func(time.Time) { n.peers.refresh() })
 }
 
 // findTimeout bounds a ping of a node that could not be reached.
-const findTimeout = 300 * time.Millisecond
+const lostPeerPingTimeout = 300 * time.Millisecond
 
 // findLoop is the duty that looks for nodes that could not be reached.
-func (n *Node) findLoop() {
-	n.every(upkeep, func(time.Time) { n.peers.find(findTimeout) })
+func (n *Node) probeLostPeersLoop() {
+	n.runEvery(maintenanceInterval, func(time.Time) { n.peers.find(lostPeerPingTimeout) })
 }
 
 // overload is when the backend server beside the node was last overloaded.
@@ -284,15 +284,15 @@
 }
 
 // watchLevel notes when the admission level leaves 0 and returns to it.
-func (n *Node) watchLevel(now time.Time) {
+func (n *Node) trackOverload(now time.Time) {
 	l := n.gate.load().level
 	last := n.lastOverload.Load()
-	on := last != nil && last.Ended.IsZero()
+	ongoing := last != nil && last.Ended.IsZero()
 	switch {
-	case l > 0 && !on:
+	case l > 0 && !ongoing:
 		n.lastOverload.Store(&overloadPeriod{Began: now})
 		n.logEvent("admission", "The backend server is overloaded, level "+formatUint(uint64(l))+".")
-	case l == 0 && on:
+	case l == 0 && ongoing:
 		n.lastOverload.Store(&overloadPeriod{last.Began, now})
 		n.logEvent("admission", "The overload is over after "+now.Sub(last.Began).Round(time.Millisecond).String()+".")
 	}
@@ -300,13 +300,13 @@
 
 // drainNotice is how long a stopping node goes on taking what other nodes
 // send before they have heard that it leaves.
-const drainNotice = 500 * time.Millisecond
+const departureGrace = 500 * time.Millisecond
 
 // Stop leaves gracefully: it announces that the node leaves, takes no new
 // work, and finishes what is in flight, for at most StopTimeout. It reports
 // whether all was finished.
 func (n *Node) Stop() bool {
-	if !n.state.applyEvent(nodeChart, stopEvent) {
+	if !n.state.applyEvent(nodeChart, eventStop) {
 		return true
 	}
 	n.stopStarted.Store(int64(n.clock()))
@@ -314,24 +314,24 @@
 	deadline := time.Now().Add(n.opt.StopTimeout.Duration)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	most := n.opt.StopTimeout.Duration / 2
-	time.Sleep(min(max(0, n.opt.StopNotice.Duration-drainNotice), most))
-	n.awaitSuccessor(deadline.Add(-n.opt.StopTimeout.Duration / finishShare))
-	n.withdrawn.Store(true)
+	maxWait := n.opt.StopTimeout.Duration / 2
+	time.Sleep(min(max(0, n.opt.StopNotice.Duration-departureGrace), maxWait))
+	n.awaitOtherInstance(deadline.Add(-n.opt.StopTimeout.Duration / drainTimeDivisor))
+	n.departureAnnounced.Store(true)
 	n.gossip.leave()
-	time.Sleep(min(drainNotice, most))
+	time.Sleep(min(departureGrace, maxWait))
 	done := n.awaitIdle(deadline)
 	if done {
-		n.state.applyEvent(nodeChart, idle)
+		n.state.applyEvent(nodeChart, eventIdle)
 	} else {
-		n.state.applyEvent(nodeChart, timedOut)
+		n.state.applyEvent(nodeChart, eventTimeout)
 	}
 	if err := n.httpSrv.Shutdown(ctx); err != nil {
 		done = false
 	}
 	n.wireSrv.Close()
-	n.closeParts()
-	if !n.awaitDuties(time.Until(deadline) + stopTail) {
+	n.closeComponents()
+	if !n.awaitTasks(time.Until(deadline) + taskStopGrace) {
 		n.info("node", "A duty has not ended in time; the process ends without it.")
 	}
 	n.info("node", "Stopped.", "finished", done)
@@ -341,10 +341,10 @@
 // stopTail is how long beyond a stop's time the duties have to end. One that
 // dials a node which does not answer would take up to two seconds, and has
 // nothing to finish: what must last is synced when it is promised.
-const stopTail = 150 * time.Millisecond
+const taskStopGrace = 150 * time.Millisecond
 
 // awaitDuties waits until all duties have ended; false if they take longer.
-func (n *Node) awaitDuties(most time.Duration) bool {
+func (n *Node) awaitTasks(timeout time.Duration) bool {
 	ended := make(chan struct{})
 	go func() {
 		n.wg.Wait()
@@ -353,55 +353,55 @@
 	select {
 	case <-ended:
 		return true
-	case <-time.After(most):
+	case <-time.After(timeout):
 		return false
 	}
 }
 
 const (
 	// successorLook is how often a stopping node looks for another instance.
-	successorLook = 20 * time.Millisecond
+	otherInstancePollInterval = 20 * time.Millisecond
 	// finishShare is the part of the stop that is kept for the requests in
 	// flight, one in so many: twice what the slowest hundredth of the usual
 	// kinds takes, at a stop of six seconds.
-	finishShare = 3
+	drainTimeDivisor = 3
 )
 
 // awaitSuccessor waits until another instance of the backend server's service
 // can be reached, at most until the time given. Rolling stops of two nodes, or
 // one that meets a cut, would else leave the service without any for the second
 // or two that a stop and a start take.
-func (n *Node) awaitSuccessor(until time.Time) {
+func (n *Node) awaitOtherInstance(until time.Time) {
 	be := n.local.Load()
 	if be == nil || be.state != member.Serving {
 		return
 	}
 	for time.Now().Before(until) && !n.routes.Load().Has(be.service, n.id, n.clock()) {
-		time.Sleep(successorLook)
+		time.Sleep(otherInstancePollInterval)
 	}
 }
 
 // awaitIdle waits until no request is in flight. A look every few
 // milliseconds costs less than a counter with a condition on every request.
 func (n *Node) awaitIdle(deadline time.Time) bool {
-	const look = 5 * time.Millisecond
+	const pollInterval = 5 * time.Millisecond
 	for time.Now().Before(deadline) {
 		l := n.gate.load()
 		if l.inflight == 0 && l.queued == 0 && n.stats.inflight.Load() == 0 {
 			return true
 		}
-		time.Sleep(look)
+		time.Sleep(pollInterval)
 	}
 	return false
 }
 
 // Close ends the process's parts at once, and waits until its duties have ended.
 func (n *Node) Close() {
-	n.closeParts()
+	n.closeComponents()
 	n.wg.Wait()
 }
 
-func (n *Node) closeParts() {
+func (n *Node) closeComponents() {
 	select {
 	case <-n.stop:
 		return
@@ -426,11 +426,11 @@
 // event logs a decision of note and keeps it for umberctl events.
 func (n *Node) logEvent(part, text string) {
 	n.info(part, text)
-	n.remember(part, text)
+	n.recordEvent(part, text)
 }
 
 // remember keeps a decision for umberctl events.
-func (n *Node) remember(part, text string) {
+func (n *Node) recordEvent(part, text string) {
 	n.events.add(Event{Time: time.Now(), Node: n.opt.Name, Domain: n.opt.Domain, Part: part, Text: text})
 }
 
@@ -459,19 +459,19 @@
 
 // retries returns the share of retries of a service.
 func (n *Node) retryThrottle(service string) *budget.Share {
-	if v, ok := n.retryShares.Load(service); ok {
+	if v, ok := n.retryThrottles.Load(service); ok {
 		return v.(*budget.Share)
 	}
-	v, _ := n.retryShares.LoadOrStore(service, &budget.Share{})
+	v, _ := n.retryThrottles.LoadOrStore(service, &budget.Share{})
 	return v.(*budget.Share)
 }
 
 // takeWait counts a nested call against the share of this node's slots that may wait
 // on one called service.
 func (n *Node) acquireBulkhead(c *call) (*admission.Waits, bool) {
-	v, ok := n.waits.Load(c.service)
+	v, ok := n.bulkheads.Load(c.service)
 	if !ok {
-		v, _ = n.waits.LoadOrStore(c.service, &admission.Waits{})
+		v, _ = n.bulkheads.LoadOrStore(c.service, &admission.Waits{})
 	}
 	w := v.(*admission.Waits)
 	be := n.local.Load()
--- a/internal/node/partition_test.go
+++ b/internal/node/partition_test.go
@@ -27,7 +27,7 @@
 	for _, n := range nodes {
 		nw.owner[n.opt.Control] = n.id
 		nw.owner[n.opt.Data] = n.id
-		n.mayDatagram = func(addr string) bool { return !nw.isCut(n.id, addr) }
+		n.allowDatagram = func(addr string) bool { return !nw.isCut(n.id, addr) }
 		n.dial = func(addr string, timeout time.Duration) (net.Conn, error) {
 			if nw.isCut(n.id, addr) || nw.cutBack(n.id, addr) {
 				time.Sleep(min(timeout, 200*time.Millisecond))
@@ -190,14 +190,14 @@
 	nodes := startReplicas(t, "a", "b", "c")
 	nw := newNetwork(nodes...)
 	old := awaitLeader(t, nodes)
-	g.Eventually(old.replicas.verified, 5*time.Second).ShouldNot(gomega.BeEmpty())
+	g.Eventually(old.replicas.verifiedReplicas, 5*time.Second).ShouldNot(gomega.BeEmpty())
 	for _, n := range nodes {
 		if n != old {
 			nw.both(n, old, true)
 		}
 	}
 	g.Eventually(func() bool { return old.replicas.leadsAny() }, 5*time.Second).Should(gomega.BeFalse())
-	g.Eventually(old.replicas.verified, 5*time.Second).Should(gomega.BeEmpty())
+	g.Eventually(old.replicas.verifiedReplicas, 5*time.Second).Should(gomega.BeEmpty())
 }
 
 // TestOneWayCutReplicaNeitherBlocksNorAnswers: the leader still sends to the
--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -371,9 +371,9 @@
 		return end
 	}
 	g.Expect(endOf(1).Marks).To(gomega.HaveLen(member.MaxEndMarks))
-	g.Expect(len(n.meta().Encode())).To(gomega.BeNumerically("<", packetBytes*2/3))
+	g.Expect(len(n.meta().Encode())).To(gomega.BeNumerically("<", maxPacketBytes*2/3))
 	for _, s := range q.summaries() {
-		g.Expect(len(s.Encode())).To(gomega.BeNumerically("<", packetBytes*2/3))
+		g.Expect(len(s.Encode())).To(gomega.BeNumerically("<", maxPacketBytes*2/3))
 	}
 	for i := range massEnds {
 		q.heardEnd(fmt.Sprint("other-", i), &member.End{Start: 1, AtMs: time.Now().UnixMilli(), Service: "kigali/sheets"})
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -23,11 +23,11 @@
 const (
 	// configGroup holds the operators' settings; the groups after it share
 	// the idempotency keys.
-	configGroup  = 0
-	identityName = "identity"
-	lostPrefix   = "lost-"
-	senderRing   = 1024
-	stepTimeout  = time.Second
+	configGroup   = 0
+	identityFile  = "identity"
+	damagedPrefix = "lost-"
+	sendQueueSize = 1024
+	stepTimeout   = time.Second
 )
 
 // replicas are the replica groups on this node's disk. A node without a data
@@ -37,15 +37,15 @@
 	id     string
 	groups []*group
 
-	mu      sync.Mutex
-	senders map[string]*ring.Ring[outgoing]
+	mu         sync.Mutex
+	sendQueues map[string]*ring.Ring[outgoingMessage]
 
 	// alive are the replicas that answered under their identity to this leader, nil
 	// while it leads no group.
-	alive atomic.Pointer[[]raft.Peer]
+	verifiedPeers atomic.Pointer[[]raft.Peer]
 }
 
-type outgoing struct {
+type outgoingMessage struct {
 	group int
 	msg   raft.Message
 }
@@ -54,26 +54,26 @@
 // aside, said so, and the replica comes back empty under a new identity, for
 // the old one has made promises that it can no longer keep.
 func openReplicas(n *Node) (*replicas, error) {
-	r := &replicas{node: n, senders: map[string]*ring.Ring[outgoing]{}}
+	r := &replicas{node: n, sendQueues: map[string]*ring.Ring[outgoingMessage]{}}
 	if n.opt.DataFolder == "" {
 		return r, nil
 	}
-	err := r.open()
+	err := r.openGroups()
 	if fault.CodeOf(err) != fault.Corrupt {
 		return r, err
 	}
 	n.logEvent("replica", "The data folder is damaged and set aside: "+err.Error())
-	if err := setAside(n.opt.DataFolder); err != nil {
+	if err := moveAside(n.opt.DataFolder); err != nil {
 		return nil, err
 	}
 	r.groups = nil
-	return r, r.open()
+	return r, r.openGroups()
 }
 
 // setAside moves what is in the folder into a folder of its own.
-func setAside(dir string) error {
-	aside := filepath.Join(dir, lostPrefix+strconv.FormatInt(time.Now().UnixNano(), 36))
-	if err := os.Mkdir(aside, 0o755); err != nil {
+func moveAside(dir string) error {
+	target := filepath.Join(dir, damagedPrefix+strconv.FormatInt(time.Now().UnixNano(), 36))
+	if err := os.Mkdir(target, 0o755); err != nil {
 		return fault.Wrap(fault.Internal, err, "cannot set the data folder aside")
 	}
 	items, err := os.ReadDir(dir)
@@ -81,17 +81,17 @@
 		return fault.Wrap(fault.Internal, err, "cannot read the data folder")
 	}
 	for _, it := range items {
-		if strings.HasPrefix(it.Name(), lostPrefix) {
+		if strings.HasPrefix(it.Name(), damagedPrefix) {
 			continue
 		}
-		if err := os.Rename(filepath.Join(dir, it.Name()), filepath.Join(aside, it.Name())); err != nil {
+		if err := os.Rename(filepath.Join(dir, it.Name()), filepath.Join(target, it.Name())); err != nil {
 			return fault.Wrap(fault.Internal, err, "cannot set the data folder aside")
 		}
 	}
 	return nil
 }
 
-func (r *replicas) open() error {
+func (r *replicas) openGroups() error {
 	dir := r.node.opt.DataFolder
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fault.Wrap(fault.Internal, err, "cannot make the data folder")
@@ -109,9 +109,9 @@
 		}
 		var m stateMachine = &claimMachine{}
 		if id == configGroup {
-			m = &confMachine{n: r.node}
+			m = &configMachine{node: r.node}
 		}
-		g, err := openGroup(r, id, newLogWriter(r.wrap(w)), loaded, m)
+		g, err := openGroup(r, id, newLogWriter(r.wrapLog(w)), loaded, m)
 		if err != nil {
 			return err
 		}
@@ -120,7 +120,7 @@
 	return nil
 }
 
-func (r *replicas) wrap(log replicaLog) replicaLog {
+func (r *replicas) wrapLog(log replicaLog) replicaLog {
 	if r.node.opt.wrapLog == nil {
 		return log
 	}
@@ -130,7 +130,7 @@
 // loadIdentity reads the identity, or makes one for an empty folder. A folder
 // with groups but no identity is damaged.
 func (r *replicas) loadIdentity(dir string) error {
-	path := filepath.Join(dir, identityName)
+	path := filepath.Join(dir, identityFile)
 	b, err := os.ReadFile(path)
 	if err == nil && len(b) == len(newID()) {
 		r.id = string(b)
@@ -143,14 +143,14 @@
 		return fault.New(fault.Corrupt, "the replica's identity is gone")
 	}
 	r.id = newID()
-	return wal.WriteFile(dir, identityName, []byte(r.id))
+	return wal.WriteFile(dir, identityFile, []byte(r.id))
 }
 
 const (
 	// verifyEvery is the time between two rounds of asking replicas who they
 	// are, and verifySoon the same while a change of a group's members is due.
-	verifyEvery = 500 * time.Millisecond
-	verifySoon  = 100 * time.Millisecond
+	verifyInterval       = 500 * time.Millisecond
+	urgentVerifyInterval = 100 * time.Millisecond
 )
 
 // verifyLoop is the duty that asks the replicas which others tell of for their
@@ -160,29 +160,29 @@
 // those of the members, as who stands there now may not have been told of yet.
 func (r *replicas) verifyLoop() {
 	rounds := 0
-	r.node.every(verifySoon, func(time.Time) {
+	r.node.runEvery(urgentVerifyInterval, func(time.Time) {
 		rounds++
 		if !r.leadsAny() {
 			// Who answered in an earlier lead may be gone in the next: a member
 			// would be moved back to an address that it has left.
-			r.alive.Store(nil)
+			r.verifiedPeers.Store(nil)
 			return
 		}
-		due := r.changeDue()
-		if !due && rounds%int(verifyEvery/verifySoon) != 0 {
+		due := r.membershipChangeDue()
+		if !due && rounds%int(verifyInterval/urgentVerifyInterval) != 0 {
 			return
 		}
-		told := r.node.view.Load().replicas
+		peers := r.node.view.Load().replicas
 		if due {
-			told = append(told[:len(told):len(told)], r.atAddresses(told)...)
+			peers = append(peers[:len(peers):len(peers)], r.identifyReplicas(peers)...)
 		}
-		alive := r.ask(told)
-		r.alive.Store(&alive)
+		alive := r.confirmIdentities(peers)
+		r.verifiedPeers.Store(&alive)
 	})
 }
 
 // changeDue tells whether a group that this replica leads lacks a sound member.
-func (r *replicas) changeDue() bool {
+func (r *replicas) membershipChangeDue() bool {
 	for _, g := range r.groups {
 		if g.leads.Load() && !g.settled.Load() {
 			return true
@@ -193,7 +193,7 @@
 
 // atAddresses returns the replicas at the addresses from the settings, and at
 // those of the groups' members, that are not among those told of.
-func (r *replicas) atAddresses(told []raft.Peer) []raft.Peer {
+func (r *replicas) identifyReplicas(known []raft.Peer) []raft.Peer {
 	asked := map[string]bool{r.node.opt.AdvertiseControl: true}
 	addrs := slices.Clone(r.node.bootstrap())
 	for _, g := range r.groups {
@@ -210,9 +210,9 @@
 		}
 		asked[addr] = true
 		var reply control.IdentityReply
-		err := r.node.control.pool.Call(addr, "Identity", &control.Empty{}, &reply, verifySoon)
+		err := r.node.control.pool.Call(addr, "Identity", &control.Empty{}, &reply, urgentVerifyInterval)
 		p := raft.Peer{ID: reply.ID, Addr: cmp.Or(reply.Addr, addr), Domain: reply.Domain}
-		if err == nil && reply.ID != "" && !slices.Contains(told, p) {
+		if err == nil && reply.ID != "" && !slices.Contains(known, p) {
 			out = append(out, p)
 		}
 	}
@@ -229,10 +229,10 @@
 }
 
 // ask returns the replicas that answer under their identity, all asked at once.
-func (r *replicas) ask(told []raft.Peer) []raft.Peer {
-	answers := make([]bool, len(told))
+func (r *replicas) confirmIdentities(peers []raft.Peer) []raft.Peer {
+	answers := make([]bool, len(peers))
 	var wg sync.WaitGroup
-	for i, p := range told {
+	for i, p := range peers {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -243,7 +243,7 @@
 	}
 	wg.Wait()
 	var out []raft.Peer
-	for i, p := range told {
+	for i, p := range peers {
 		if answers[i] {
 			out = append(out, p)
 		}
@@ -252,8 +252,8 @@
 }
 
 // verified returns the replicas that lately answered under their identity.
-func (r *replicas) verified() []raft.Peer {
-	if p := r.alive.Load(); p != nil {
+func (r *replicas) verifiedReplicas() []raft.Peer {
+	if p := r.verifiedPeers.Load(); p != nil {
 		return slices.Clip(*p)
 	}
 	return nil
@@ -261,11 +261,11 @@
 
 func (r *replicas) start() {
 	if len(r.groups) > 0 {
-		r.node.duty("verify", r.verifyLoop)
+		r.node.startTask("verify", r.verifyLoop)
 	}
 	for _, g := range r.groups {
-		r.node.duty("replica", g.run)
-		r.node.duty("log writer", func() { g.writer.run(r.node.stop) })
+		r.node.startTask("replica", g.run)
+		r.node.startTask("log writer", func() { g.writer.run(r.node.stop) })
 	}
 }
 
@@ -278,7 +278,7 @@
 }
 
 // formed tells whether this replica belongs to a group.
-func (r *replicas) formed() bool {
+func (r *replicas) belongsToGroup() bool {
 	if len(r.groups) == 0 {
 		return false
 	}
@@ -288,17 +288,17 @@
 
 // form makes this replica the first of the groups. It is a person's decision,
 // taken once: a replica that lost its disk must never take it by itself.
-func (r *replicas) form() error {
+func (r *replicas) formGroups() error {
 	if len(r.groups) == 0 {
 		return fault.New(fault.BadRequest, "this node has no data folder")
 	}
-	if r.formed() {
+	if r.belongsToGroup() {
 		return fault.New(fault.Conflict, "this replica already belongs to a group")
 	}
 	self := raft.Peer{ID: r.id, Addr: r.node.opt.AdvertiseControl, Domain: r.node.opt.Domain}
 	for _, g := range r.groups {
 		done := make(chan error, 1)
-		g.post(func() { done <- g.form(self) })
+		g.enqueue(func() { done <- g.formWithSelf(self) })
 		if err := <-done; err != nil {
 			return err
 		}
@@ -307,7 +307,7 @@
 }
 
 // form starts the group with this replica as its only voter.
-func (g *group) form(self raft.Peer) error {
+func (g *group) formWithSelf(self raft.Peer) error {
 	if len(g.core.Conf().Voters) > 0 {
 		return fault.New(fault.Conflict, "this replica already belongs to a group")
 	}
@@ -332,20 +332,20 @@
 	return r.groups[id]
 }
 
-func (r *replicas) step(id int, ms []raft.Message) {
+func (r *replicas) stepGroup(id int, ms []raft.Message) {
 	g := r.group(id)
 	if g == nil {
 		return
 	}
 	// A full inbox drops the messages, like the network may.
-	g.post(func() {
+	g.enqueue(func() {
 		for _, m := range ms {
 			g.core.Step(m)
 		}
 	})
 }
 
-func (r *replicas) addrOf(conf raft.Conf, id string) string {
+func (r *replicas) memberAddr(conf raft.Conf, id string) string {
 	for _, p := range append(append([]raft.Peer(nil), conf.Voters...), conf.Learners...) {
 		if p.ID == id {
 			return p.Addr
@@ -368,18 +368,18 @@
 
 // send hands messages to the duty that sends to their address. The ring of an
 // address that does not answer fills and drops; the protocol sends again.
-func (r *replicas) send(g *group, ms []raft.Message) {
+func (r *replicas) sendMessages(g *group, ms []raft.Message) {
 	if len(ms) == 0 {
 		return
 	}
 	conf := g.core.Conf()
 	for _, m := range ms {
-		addr := r.addrOf(conf, m.To)
+		addr := r.memberAddr(conf, m.To)
 		if addr == "" {
 			addr = r.candidateAddr(m.To)
 		}
 		if addr != "" {
-			r.sender(addr).Offer(outgoing{g.id, m})
+			r.sendQueue(addr).Offer(outgoingMessage{g.id, m})
 		}
 	}
 }
@@ -387,7 +387,7 @@
 // candidateAddr finds a replica that this one does not yet know as a member:
 // a learner answers its leader before it has the membership.
 func (r *replicas) candidateAddr(id string) string {
-	for _, p := range append(r.verified(), r.node.view.Load().replicas...) {
+	for _, p := range append(r.verifiedReplicas(), r.node.view.Load().replicas...) {
 		if p.ID == id {
 			return p.Addr
 		}
@@ -395,22 +395,22 @@
 	return ""
 }
 
-func (r *replicas) sender(addr string) *ring.Ring[outgoing] {
+func (r *replicas) sendQueue(addr string) *ring.Ring[outgoingMessage] {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.senders[addr]
+	s := r.sendQueues[addr]
 	if s == nil {
-		s = ring.New[outgoing](senderRing)
-		r.senders[addr] = s
-		r.node.duty("sender", func() { r.sendLoop(addr, s) })
+		s = ring.New[outgoingMessage](sendQueueSize)
+		r.sendQueues[addr] = s
+		r.node.startTask("sender", func() { r.sendLoop(addr, s) })
 	}
 	return s
 }
 
 // sendLoop is the duty that sends to one address, in batches by group.
-func (r *replicas) sendLoop(addr string, s *ring.Ring[outgoing]) {
+func (r *replicas) sendLoop(addr string, s *ring.Ring[outgoingMessage]) {
 	for {
-		var first outgoing
+		var first outgoingMessage
 		select {
 		case <-r.node.stop:
 			return
@@ -447,8 +447,8 @@
 	if g == nil {
 		return 0, nil, fault.New(fault.NotLeader, "this node has no replica")
 	}
-	err = g.read(wait, func() {
-		store := g.sm.(*confMachine).store
+	err = g.readLinearizable(wait, func() {
+		store := g.sm.(*configMachine).store
 		version, entries = store.Version(), store.Entries()
 	})
 	return version, entries, err
--- a/internal/node/replica_test.go
+++ b/internal/node/replica_test.go
@@ -41,7 +41,7 @@
 		nodes = append(nodes, n)
 		boot = []string{nodes[0].opt.Control}
 	}
-	if err := nodes[0].replicas.form(); err != nil {
+	if err := nodes[0].replicas.formGroups(); err != nil {
 		t.Fatal(err)
 	}
 	awaitVoters(t, nodes, len(domains))
@@ -177,5 +177,5 @@
 		o.AdvertiseControl = told
 	})
 	near := startNode(t, "a", []string{far.opt.Control}, func(o *Options) { o.DataFolder = t.TempDir() })
-	g.Expect(near.replicas.atAddresses(nil)).To(gomega.Equal([]raft.Peer{{ID: far.replicas.id, Addr: told, Domain: "b"}}))
+	g.Expect(near.replicas.identifyReplicas(nil)).To(gomega.Equal([]raft.Peer{{ID: far.replicas.id, Addr: told, Domain: "b"}}))
 }
--- a/internal/node/return_test.go
+++ b/internal/node/return_test.go
@@ -49,7 +49,7 @@
 func TestStoppingNodeWaitsForAnother(t *testing.T) {
 	g := gomega.NewWithT(t)
 	short := func(o *Options) {
-		o.StopNotice = Duration{drainNotice}
+		o.StopNotice = Duration{departureGrace}
 		o.StopTimeout = Duration{9 * time.Second}
 	}
 	first := startNode(t, "a", nil, short)
--- a/internal/node/reunion_test.go
+++ b/internal/node/reunion_test.go
@@ -50,7 +50,7 @@
 	version := uint64(0)
 	for range 3 {
 		for _, n := range plain {
-			g.Eventually(n.gossip.young, 20*time.Second, 10*time.Millisecond).Should(gomega.BeFalse())
+			g.Eventually(n.gossip.recentlyStarted, 20*time.Second, 10*time.Millisecond).Should(gomega.BeFalse())
 			g.Eventually(func() int { return len(n.view.Load().replicas) }, 20*time.Second, 10*time.Millisecond).Should(gomega.Equal(2))
 		}
 		for _, r := range replicas {
--- a/internal/node/stall.go
+++ b/internal/node/stall.go
@@ -17,14 +17,14 @@
 func (g *group) watchDisks() {
 	own := g.core.SaveTicks() >= stallTicks
 	if own != g.stall.own {
-		g.sayStall(own, "its disk has not answered for "+(stallTicks*raftTick).String(), "its disk answers again")
+		g.sayStall(own, "its disk has not answered for "+(stallTicks*raftTickInterval).String(), "its disk answers again")
 	}
 	quorum := g.core.Role() == raft.Leader && !g.quorumOfDisks(own)
 	if quorum != g.stall.quorum {
 		g.sayStall(quorum, "the disks of too many replicas stall, changes are refused", "a quorum of disks answers, changes are taken")
 	}
 	g.stall = stallWatch{own, quorum}
-	g.savingFor.Store(int64(g.core.SaveTicks()) * int64(raftTick))
+	g.saveTime.Store(int64(g.core.SaveTicks()) * int64(raftTickInterval))
 	g.stalled.Store(quorum)
 }
 
--- a/internal/node/stall_test.go
+++ b/internal/node/stall_test.go
@@ -133,7 +133,7 @@
 				nodes[(leader+1)%len(nodes)].Close()
 			}
 			version := uint64(0)
-			for end := time.Now().Add(stallTicks*raftTick + 2*time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+			for end := time.Now().Add(stallTicks*raftTickInterval + 2*time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 				status, res := nodes[leader].change("", version, settings.Entries{"#deadline": fmt.Sprintf("%ds", version+2)})
 				g.Expect(status).To(gomega.Equal(200), "%+v", res)
 				version = res.Version
--- a/internal/node/statemachine.go
+++ b/internal/node/statemachine.go
@@ -13,7 +13,7 @@
 type stateMachine interface {
 	// check refuses a command before it enters the log, or answers it from
 	// what is known; both nil means that it may enter.
-	check(command []byte) (result []byte, err error)
+	precheck(command []byte) (result []byte, err error)
 	// apply applies a committed command and returns its result.
 	apply(command []byte) []byte
 	// snapshot encodes the state.
@@ -23,12 +23,12 @@
 }
 
 // confMachine is the state machine of the configuration group.
-type confMachine struct {
-	n     *Node
+type configMachine struct {
+	node  *Node
 	store *confstore.Store
 }
 
-func (m *confMachine) check(command []byte) ([]byte, error) {
+func (m *configMachine) precheck(command []byte) ([]byte, error) {
 	var c confstore.Change
 	if err := msgpack.Unmarshal(command, &c); err != nil {
 		return nil, fault.Wrap(fault.BadRequest, err, "malformed change")
@@ -42,7 +42,7 @@
 	}
 	// A replica puts in force what it applies, so that its node has the tree
 	// of this version; only a change in between needs another.
-	conf := m.n.conf.Load()
+	conf := m.node.conf.Load()
 	tree := conf.tree
 	if conf.version != m.store.Version() {
 		var err error
@@ -54,7 +54,7 @@
 	return nil, err
 }
 
-func (m *confMachine) apply(command []byte) []byte {
+func (m *configMachine) apply(command []byte) []byte {
 	var c confstore.Change
 	if err := msgpack.Unmarshal(command, &c); err != nil {
 		return nil
@@ -63,14 +63,14 @@
 	r := m.store.Apply(c)
 	if m.store.Version() != before {
 		changes, _ := m.store.Since(before)
-		m.n.takeChanges(changes)
+		m.node.applyChanges(changes)
 	}
 	return encodeMsgpack(&r)
 }
 
-func (m *confMachine) snapshot() ([]byte, error) { return m.store.Snapshot() }
+func (m *configMachine) snapshot() ([]byte, error) { return m.store.Snapshot() }
 
-func (m *confMachine) restore(data []byte) error {
+func (m *configMachine) restore(data []byte) error {
 	if data == nil {
 		m.store = confstore.New()
 		return nil
@@ -80,17 +80,17 @@
 		return err
 	}
 	m.store = store
-	if changes, ok := store.Since(m.n.conf.Load().version); ok {
-		m.n.takeChanges(changes)
+	if changes, ok := store.Since(m.node.conf.Load().version); ok {
+		m.node.applyChanges(changes)
 	}
-	m.n.applyDocument(store.Version(), store.Entries())
+	m.node.applyDocument(store.Version(), store.Entries())
 	return nil
 }
 
 // claimMachine is the state machine of a shard of idempotency keys.
 type claimMachine struct{ store *claims.Store }
 
-func (m *claimMachine) check([]byte) ([]byte, error) { return nil, nil }
+func (m *claimMachine) precheck([]byte) ([]byte, error) { return nil, nil }
 
 func (m *claimMachine) apply(command []byte) []byte {
 	var c claims.Command
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -11,10 +11,10 @@
 )
 
 // submitTry bounds one question to one replica.
-const submitTry = 700 * time.Millisecond
+const replicaAskTimeout = 700 * time.Millisecond
 
 // leaderAnswer is what a replica said to one question.
-type leaderAnswer struct {
+type replicaAnswer struct {
 	addr string
 	// err is set if the replica did not answer.
 	err error
@@ -30,42 +30,42 @@
 // settled finds that an answer ends it or the time is over. The question may reach
 // several replicas and one of them twice, so it must be idempotent. It returns how
 // many questions were not answered.
-func (n *Node) askLeader(group int, wait time.Duration, ask func(addr string, wait time.Duration) leaderAnswer, settled func(leaderAnswer) bool) (open int) {
+func (n *Node) askLeader(group int, wait time.Duration, ask func(addr string, wait time.Duration) replicaAnswer, settled func(replicaAnswer) bool) (unanswered int) {
 	began := time.Now()
-	since := func() time.Duration { return time.Since(began) }
+	elapsed := func() time.Duration { return time.Since(began) }
 	search := seek.New(n.replicas.leaderAddr(group))
-	answers := make(chan leaderAnswer)
+	answers := make(chan replicaAnswer)
 	done := make(chan struct{})
 	defer close(done)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for since() < wait {
-		addr, again := search.Next(since(), n.replicaAddrs())
+	for elapsed() < wait {
+		addr, nextAt := search.Next(elapsed(), n.replicaAddrs())
 		if addr != "" {
-			open++
+			unanswered++
 			go func() {
 				select {
-				case answers <- ask(addr, min(wait-since(), submitTry)):
+				case answers <- ask(addr, min(wait-elapsed(), replicaAskTimeout)):
 				case <-done:
 				}
 			}()
 		}
-		timer.Reset(min(again, wait) - since())
+		timer.Reset(min(nextAt, wait) - elapsed())
 		select {
 		case a := <-answers:
-			open--
+			unanswered--
 			if settled(a) {
-				return open
+				return unanswered
 			}
-			note(search, since(), a)
+			recordAnswer(search, elapsed(), a)
 		case <-timer.C:
 		}
 	}
-	return open
+	return unanswered
 }
 
 // note tells the search what a replica said.
-func note(s *seek.Search, now time.Duration, a leaderAnswer) {
+func recordAnswer(s *seek.Search, now time.Duration, a replicaAnswer) {
 	switch {
 	case a.err != nil:
 		s.Silent(now, a.addr)
@@ -80,17 +80,17 @@
 // command is sent again until a leader answers, so it must be idempotent. The
 // error's Run is RunNo only if no replica can have taken the command.
 func (n *Node) submitCommand(id int, command []byte, wait time.Duration) ([]byte, *fault.Error) {
-	maybe := false
+	uncertain := false
 	var result []byte
 	var refused *fault.Error
-	ask := func(addr string, wait time.Duration) leaderAnswer {
+	ask := func(addr string, wait time.Duration) replicaAnswer {
 		reply, err := n.submitTo(addr, id, command, wait)
-		return leaderAnswer{addr: addr, err: err, code: reply.Code, leader: reply.Leader, reply: reply}
+		return replicaAnswer{addr: addr, err: err, code: reply.Code, leader: reply.Leader, reply: reply}
 	}
 	found := false
-	open := n.askLeader(id, wait, ask, func(a leaderAnswer) bool {
+	unanswered := n.askLeader(id, wait, ask, func(a replicaAnswer) bool {
 		if a.err != nil {
-			maybe = maybe || fault.From(a.err).Run != fault.RunNo
+			uncertain = uncertain || fault.From(a.err).Run != fault.RunNo
 			return false
 		}
 		reply := a.reply.(*control.SubmitReply)
@@ -101,7 +101,7 @@
 			return false
 		case fault.NoQuorum, fault.Overload:
 			// A refusal would be untrue where an earlier question may yet be taken.
-			maybe = maybe || reply.Run != fault.RunNo
+			uncertain = uncertain || reply.Run != fault.RunNo
 			return false
 		default:
 			refused = fault.New(reply.Code, reply.Detail)
@@ -113,7 +113,7 @@
 		return result, nil
 	case refused != nil:
 		return nil, refused
-	case maybe || open > 0:
+	case uncertain || unanswered > 0:
 		return nil, fault.New(fault.NoQuorum, "no quorum confirmed in time").Unknown()
 	default:
 		return nil, fault.New(fault.NoQuorum, "no replica can be reached")
@@ -126,12 +126,12 @@
 	if addr == n.opt.AdvertiseControl {
 		return reply, (&controlAPI{n}).Submit(req, reply)
 	}
-	return reply, n.control.pool.Call(addr, "Submit", req, reply, wait+answerMargin)
+	return reply, n.control.pool.Call(addr, "Submit", req, reply, wait+replyMargin)
 }
 
 // answerMargin is the time that an answer has to come back after the replica's own
 // time is over.
-const answerMargin = 20 * time.Millisecond
+const replyMargin = 20 * time.Millisecond
 
 // replicaAddrs returns the replicas' addresses.
 func (n *Node) replicaAddrs() []string {
@@ -147,14 +147,14 @@
 }
 
 // readCurrent returns the settings in force, confirmed by a quorum.
-func (n *Node) readCurrent(wait time.Duration) (*control.ReadReply, *fault.Error) {
+func (n *Node) readCurrentConfig(wait time.Duration) (*control.ReadReply, *fault.Error) {
 	have := n.conf.Load()
-	ask := func(addr string, wait time.Duration) leaderAnswer {
-		reply, err := n.readFrom(addr, have.version, wait)
-		return leaderAnswer{addr: addr, err: err, code: reply.Code, leader: reply.Leader, reply: reply}
+	ask := func(addr string, wait time.Duration) replicaAnswer {
+		reply, err := n.readConfigFrom(addr, have.version, wait)
+		return replicaAnswer{addr: addr, err: err, code: reply.Code, leader: reply.Leader, reply: reply}
 	}
 	var found *control.ReadReply
-	n.askLeader(configGroup, wait, ask, func(a leaderAnswer) bool {
+	n.askLeader(configGroup, wait, ask, func(a replicaAnswer) bool {
 		if a.err != nil || a.code != fault.None {
 			return false
 		}
@@ -165,18 +165,18 @@
 		return nil, fault.New(fault.NoQuorum, "no quorum confirmed the read")
 	}
 	if found.Version == have.version {
-		found.Entries = have.raw
+		found.Entries = have.entries
 	}
 	return found, nil
 }
 
-func (n *Node) readFrom(addr string, have uint64, wait time.Duration) (*control.ReadReply, error) {
+func (n *Node) readConfigFrom(addr string, have uint64, wait time.Duration) (*control.ReadReply, error) {
 	req := &control.ReadRequest{WaitMs: wait.Milliseconds(), Have: have}
 	reply := &control.ReadReply{}
 	if addr == n.opt.AdvertiseControl {
 		return reply, (&controlAPI{n}).Read(req, reply)
 	}
-	return reply, n.control.pool.Call(addr, "Read", req, reply, wait+answerMargin)
+	return reply, n.control.pool.Call(addr, "Read", req, reply, wait+replyMargin)
 }
 
 // shardOf returns the group that holds a key.
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -16,7 +16,7 @@
 
 // view is what the gossip says, read by the other duties. It is immutable and
 // swapped whole.
-type view struct {
+type membershipView struct {
 	members  []memberView
 	domains  map[string]links.Domain
 	replicas []raft.Peer
@@ -33,76 +33,76 @@
 
 // tables turns gossip records into the view and the routing table. Only the
 // gossip duty uses it.
-type tables struct {
-	n         *Node
-	metas     map[string]*memberView
+type viewBuilder struct {
+	node      *Node
+	members   map[string]*memberView
 	summaries map[string]member.Summary
 	links     map[string]member.Link
 	domains   map[string]links.Domain
-	seen      map[string]*known
+	instances map[string]*instanceState
 }
 
 // known is what this node keeps of one start of an instance.
-type known struct {
+type instanceState struct {
 	start uint32
 	// since is when it was first seen, on this node's clock.
 	since    time.Duration
 	observed *route.Observed
 }
 
-func newTables(n *Node) *tables {
-	return &tables{
-		n: n, metas: map[string]*memberView{}, summaries: map[string]member.Summary{}, links: map[string]member.Link{},
-		domains: map[string]links.Domain{}, seen: map[string]*known{},
+func newViewBuilder(n *Node) *viewBuilder {
+	return &viewBuilder{
+		node: n, members: map[string]*memberView{}, summaries: map[string]member.Summary{}, links: map[string]member.Link{},
+		domains: map[string]links.Domain{}, instances: map[string]*instanceState{},
 	}
 }
 
 // take takes in one event of the gossip core.
-func (t *tables) take(e gossip.Event) {
+func (b *viewBuilder) handleEvent(e gossip.Event) {
 	switch {
 	case e.Member != nil:
-		t.takeMember(*e.Member)
+		b.handleMember(*e.Member)
 	case member.IsSummary(e.Record.Key):
 		s, err := member.DecodeSummary(e.Record.Payload)
-		if err != nil || s.Domain == t.n.opt.Domain {
+		if err != nil || s.Domain == b.node.opt.Domain {
 			return
 		}
 		if member.IsEnded(e.Record.Key) {
-			t.n.quarantine.heardRemote(s)
+			b.node.quarantine.heardRemote(s)
 			return
 		}
-		t.summaries[e.Record.Key] = *s
+		b.summaries[e.Record.Key] = *s
 	case member.IsLink(e.Record.Key):
 		l, err := member.DecodeLink(e.Record.Payload)
-		if err == nil && l.Domain != t.n.opt.Domain {
-			t.links[e.Record.Key] = *l
+		if err == nil && l.Domain != b.node.opt.Domain {
+			b.links[e.Record.Key] = *l
 		}
 	}
 }
 
-func (t *tables) takeMember(m gossip.Member) {
-	old := t.metas[m.ID]
+func (b *viewBuilder) handleMember(m gossip.Member) {
+	old := b.members[m.ID]
 	meta, err := member.DecodeMeta(m.Meta)
 	if err != nil {
 		return
 	}
-	t.metas[m.ID] = &memberView{m, meta}
-	t.n.quarantine.heardMember(m.ID, meta)
+	b.members[m.ID] = &memberView{m, meta}
+	b.node.quarantine.heardMember(m.ID, meta)
 	if old != nil && old.Status != m.Status || old == nil && m.Status != gossip.Dead {
-		t.n.logEvent("member", meta.Name+" is "+m.Status.String()+".")
+		b.node.logEvent("member", meta.Name+" is "+m.Status.String()+".")
 	}
 	if m.Status == gossip.Dead {
-		delete(t.metas, m.ID)
+		delete(b.members, m.ID)
 	}
 }
 
 // refreshDomains works out which failure domains are cut off: those that none
 // of the linking members alive reaches.
-func (t *tables) refreshDomains() {
+func (b *viewBuilder) refreshDomains() {
 	next := map[string]links.Domain{}
-	for key, l := range t.links {
-		if l.By != t.n.id && t.metas[l.By] == nil {
-			delete(t.links, key)
+	for key, l := range b.links {
+		if l.By != b.node.id && b.members[l.By] == nil {
+			delete(b.links, key)
 			continue
 		}
 		d := next[l.Domain]
@@ -111,46 +111,46 @@
 		next[l.Domain] = d
 	}
 	for name, d := range next {
-		old, known := t.domains[name]
+		old, known := b.domains[name]
 		switch {
 		case known && old.Reachable && !d.Reachable:
-			t.n.logEvent("links", "Failure domain "+name+" is cut off.")
+			b.node.logEvent("links", "Failure domain "+name+" is cut off.")
 		case known && !old.Reachable && d.Reachable:
-			t.n.logEvent("links", "Failure domain "+name+" is reachable again.")
+			b.node.logEvent("links", "Failure domain "+name+" is reachable again.")
 		}
 	}
-	t.domains = next
+	b.domains = next
 }
 
 // publish builds the view and the routing table and swaps them in.
-func (t *tables) publish() {
-	t.refreshDomains()
-	v := &view{domains: t.domains}
-	for _, m := range t.metas {
+func (b *viewBuilder) publish() {
+	b.refreshDomains()
+	v := &membershipView{domains: b.domains}
+	for _, m := range b.members {
 		v.members = append(v.members, *m)
 	}
 	sort.Slice(v.members, func(i, j int) bool { return v.members[i].ID < v.members[j].ID })
-	v.replicas = t.replicas()
-	t.n.watchReplicas(v.replicas)
-	t.n.view.Store(v)
-	t.n.gossip.see(v)
-	next := t.routes()
-	next.Follow(t.n.routes.Load(), t.n.clock())
-	t.n.routes.Store(next)
+	v.replicas = b.replicaPeers()
+	b.node.logReplicaAvailability(v.replicas)
+	b.node.view.Store(v)
+	b.node.gossip.updateDiscovery(v)
+	next := b.routingTable()
+	next.Follow(b.node.routes.Load(), b.node.clock())
+	b.node.routes.Store(next)
 }
 
-func (t *tables) replicas() []raft.Peer {
+func (b *viewBuilder) replicaPeers() []raft.Peer {
 	var out []raft.Peer
-	for _, m := range t.metas {
+	for _, m := range b.members {
 		if m.meta.Replica != "" && m.alive() {
-			out = append(out, raft.Peer{ID: m.meta.Replica, Addr: m.Addr, Domain: t.n.opt.Domain})
+			out = append(out, raft.Peer{ID: m.meta.Replica, Addr: m.Addr, Domain: b.node.opt.Domain})
 		}
 	}
-	if id := t.n.replicas.identity(); id != "" {
-		out = append(out, raft.Peer{ID: id, Addr: t.n.opt.AdvertiseControl, Domain: t.n.opt.Domain})
+	if id := b.node.replicas.identity(); id != "" {
+		out = append(out, raft.Peer{ID: id, Addr: b.node.opt.AdvertiseControl, Domain: b.node.opt.Domain})
 	}
-	for _, s := range t.summaries {
-		if s.Service != member.ReplicaService || !t.reachable(s.Domain) {
+	for _, s := range b.summaries {
+		if s.Service != member.ReplicaService || !b.reachable(s.Domain) {
 			continue
 		}
 		for _, in := range s.Instances {
@@ -162,51 +162,51 @@
 }
 
 // reachable tells whether a failure domain is not cut off from this one.
-func (t *tables) reachable(domain string) bool {
-	d, known := t.domains[domain]
+func (b *viewBuilder) reachable(domain string) bool {
+	d, known := b.domains[domain]
 	return !known || d.Reachable
 }
 
-func (t *tables) routes() *route.Snapshot {
+func (b *viewBuilder) routingTable() *route.Snapshot {
 	s := &route.Snapshot{Services: map[string]*route.Service{}}
 	used := map[string]bool{}
 	addrs := map[string]bool{}
 	add := func(id, addr, domain string, slots int, weight float64, start uint32) *route.Instance {
 		used[id] = true
 		addrs[addr] = true
-		k := t.known(id, start)
+		k := b.stateOf(id, start)
 		in := &route.Instance{ID: id, Addr: addr, Domain: domain, Slots: slots, Weight: weight, Since: k.since, Seen: k.observed}
 		in.Seen.Announced(false)
 		return in
 	}
-	if be := t.n.local.Load(); be != nil && be.state == member.Serving && !t.n.rejectsNewWork() {
-		svc := service(s, be.service)
-		svc.Own = append(svc.Own, add(t.n.id, t.n.opt.AdvertiseData, t.n.opt.Domain, be.slots, be.weight, be.start))
+	if be := b.node.local.Load(); be != nil && be.state == member.Serving && !b.node.rejectsNewWork() {
+		svc := serviceEntry(s, be.service)
+		svc.Own = append(svc.Own, add(b.node.id, b.node.opt.AdvertiseData, b.node.opt.Domain, be.slots, be.weight, be.start))
 	}
-	for _, m := range t.metas {
+	for _, m := range b.members {
 		if m.meta.State != member.Serving || !m.alive() {
 			continue
 		}
-		svc := service(s, m.meta.Service)
-		svc.Own = append(svc.Own, add(m.ID, m.meta.Data, t.n.opt.Domain, m.meta.Slots, m.meta.Weight, m.meta.Start))
+		svc := serviceEntry(s, m.meta.Service)
+		svc.Own = append(svc.Own, add(m.ID, m.meta.Data, b.node.opt.Domain, m.meta.Slots, m.meta.Weight, m.meta.Start))
 	}
-	for _, sum := range t.summaries {
-		if sum.Service == member.ReplicaService || !t.reachable(sum.Domain) || len(sum.Instances) == 0 {
+	for _, sum := range b.summaries {
+		if sum.Service == member.ReplicaService || !b.reachable(sum.Domain) || len(sum.Instances) == 0 {
 			continue
 		}
 		var ins []*route.Instance
 		for _, r := range sum.Instances {
 			ins = append(ins, add(r.ID, r.Addr, sum.Domain, r.Slots, r.Weight, r.Start))
 		}
-		svc := service(s, sum.Service)
+		svc := serviceEntry(s, sum.Service)
 		svc.Others = append(svc.Others, ins)
 	}
-	t.prune(used)
-	t.n.peers.keep(addrs)
+	b.pruneInstances(used)
+	b.node.peers.keep(addrs)
 	return s
 }
 
-func service(s *route.Snapshot, name string) *route.Service {
+func serviceEntry(s *route.Snapshot, name string) *route.Service {
 	svc := s.Services[name]
 	if svc == nil {
 		svc = &route.Service{}
@@ -217,33 +217,33 @@
 
 // settled is the age of this process from when on an instance that it sees
 // for the first time is held to be new.
-const settled = 3 * time.Second
+const newInstanceAge = 3 * time.Second
 
 // longAgo is the start of an instance that is not new.
-const longAgo = -time.Hour
+const establishedSince = -time.Hour
 
 // known returns what is kept of an instance. Another start of its backend server
 // begins afresh: it is cold, and has none of the requests and failures of the
 // one before. Where the older word of another failure domain comes after the
 // newer one, the newer stays.
-func (t *tables) known(id string, start uint32) *known {
-	k := t.seen[id]
+func (b *viewBuilder) stateOf(id string, start uint32) *instanceState {
+	k := b.instances[id]
 	if k != nil && start <= k.start {
 		return k
 	}
-	since := t.n.clock()
-	if k == nil && since < settled {
-		since = longAgo
+	since := b.node.clock()
+	if k == nil && since < newInstanceAge {
+		since = establishedSince
 	}
-	k = &known{start: start, since: since, observed: &route.Observed{}}
-	t.seen[id] = k
+	k = &instanceState{start: start, since: since, observed: &route.Observed{}}
+	b.instances[id] = k
 	return k
 }
 
-func (t *tables) prune(used map[string]bool) {
-	for id := range t.seen {
+func (b *viewBuilder) pruneInstances(used map[string]bool) {
+	for id := range b.instances {
 		if !used[id] {
-			delete(t.seen, id)
+			delete(b.instances, id)
 		}
 	}
 }
