--- a/internal/node/comeback_test.go
+++ b/internal/node/comeback_test.go
@@ -15,7 +15,7 @@
 // TestCallersTurnedAwayForLoadComeBackInTime: whatever the level, at most half
 // of the objective is gone when they come back; where an instance is away they
 // come back when it may be there again.
-func TestCallersTurnedAwayForLoadComeBackInTime(t *testing.T) {
+func TestRetryAfterIsBoundedByObjective(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, objective := range []time.Duration{150 * time.Millisecond, 1500 * time.Millisecond, time.Minute} {
 		c := &call{policy: &settings.Policy{ObjectiveWithin: objective}}
--- a/internal/node/news_test.go
+++ b/internal/node/news_test.go
@@ -9,7 +9,7 @@
 
 // TestNewsTellsHowAVersionCame: the wait counts from the first version that was
 // missing, and ends with the version that was heard of.
-func TestNewsTellsHowAVersionCame(t *testing.T) {
+func TestVersionTrackerReportsSourceAndDelay(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var w versionTracker
 	_, way, _ := w.activate(time.Second, 4)
@@ -28,7 +28,7 @@
 	g.Expect(way).To(gomega.Equal(viaDisk))
 }
 
-func TestNewsTellsForHowLongNoReplicaWasKnown(t *testing.T) {
+func TestVersionTrackerReportsTimeWithoutReplicas(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var w versionTracker
 	changed, _ := w.observeReplicas(0, false)
--- a/internal/node/partition_test.go
+++ b/internal/node/partition_test.go
@@ -29,7 +29,7 @@
 		nw.owner[n.opt.Data] = n.id
 		n.allowDatagram = func(addr string) bool { return !nw.isCut(n.id, addr) }
 		n.dial = func(addr string, timeout time.Duration) (net.Conn, error) {
-			if nw.isCut(n.id, addr) || nw.cutBack(n.id, addr) {
+			if nw.isCut(n.id, addr) || nw.isReverseCut(n.id, addr) {
 				time.Sleep(min(timeout, 200*time.Millisecond))
 				return nil, net.ErrClosed
 			}
@@ -54,21 +54,21 @@
 	return nw.cuts[from+">"+nw.owner[addr]]
 }
 
-func (nw *network) cutBack(from, addr string) bool {
+func (nw *network) isReverseCut(from, addr string) bool {
 	nw.mu.Lock()
 	defer nw.mu.Unlock()
 	return nw.cuts[nw.owner[addr]+">"+from]
 }
 
-func (nw *network) set(from, to *testNode, on bool) {
+func (nw *network) setCut(from, to *testNode, on bool) {
 	nw.mu.Lock()
 	defer nw.mu.Unlock()
 	nw.cuts[from.id+">"+to.id] = on
 }
 
-func (nw *network) both(a, b *testNode, on bool) {
-	nw.set(a, b, on)
-	nw.set(b, a, on)
+func (nw *network) setCutBothWays(a, b *testNode, on bool) {
+	nw.setCut(a, b, on)
+	nw.setCut(b, a, on)
 }
 
 // cutConn loses what is sent or received during a cut, and all after it.
@@ -80,7 +80,7 @@
 	lost       bool
 }
 
-func (c *cutConn) broken(cut bool) bool {
+func (c *cutConn) isLost(cut bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lost = c.lost || cut
@@ -89,7 +89,7 @@
 
 // Write implements net.Conn.
 func (c *cutConn) Write(p []byte) (int, error) {
-	if c.broken(c.nw.isCut(c.from, c.addr)) {
+	if c.isLost(c.nw.isCut(c.from, c.addr)) {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
@@ -99,14 +99,14 @@
 func (c *cutConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
-		if err != nil || !c.broken(c.nw.cutBack(c.from, c.addr)) {
+		if err != nil || !c.isLost(c.nw.isReverseCut(c.from, c.addr)) {
 			return n, err
 		}
 	}
 }
 
 // logReplicas tells of a failed test what its replicas believe.
-func logReplicas(t *testing.T, nodes []*testNode) {
+func logReplicaState(t *testing.T, nodes []*testNode) {
 	if !t.Failed() {
 		return
 	}
@@ -119,26 +119,26 @@
 	}
 }
 
-func TestCutOffDomainGoesOnServingAndCatchesUp(t *testing.T) {
+func TestPartitionedDomainServesAndCatchesUp(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := startReplicas(t, "a", "b", "c")
-	t.Cleanup(func() { logReplicas(t, nodes) })
+	t.Cleanup(func() { logReplicaState(t, nodes) })
 	nw := newNetwork(nodes...)
 	cut := nodes[2]
-	_, r := nodes[0].change("", 0, settings.Entries{
+	_, r := nodes[0].proposeChange("", 0, settings.Entries{
 		"suva/cover-desk/check#idempotent": "true", "suva/claims-hub/lodge#key_required": "true", "suva/claims-hub/lodge#deadline": "1s",
 	})
 	g.Expect(r.Reason).To(gomega.Equal("none"))
 	for _, n := range nodes {
-		n.hasVersion(1)
+		n.awaitConfigVersion(1)
 		startStandin(t, n, "suva/cover-desk", 8, map[string]standin.Kind{"check": {Time: time.Millisecond, Answer: 64}})
 	}
 	for _, n := range nodes {
 		n.serves("suva/cover-desk", 3)
 	}
 
-	nw.both(cut, nodes[0], true)
-	nw.both(cut, nodes[1], true)
+	nw.setCutBothWays(cut, nodes[0], true)
+	nw.setCutBothWays(cut, nodes[1], true)
 	// The cut-off domain serves what it can, all the time.
 	for range 40 {
 		res := cut.call("suva/cover-desk/check", "", nil, nil)
@@ -150,19 +150,19 @@
 	res := cut.call("suva/claims-hub/lodge", "", nil, map[string]string{HeaderKey: uuid.Must(uuid.NewV7()).String()})
 	g.Expect(res.problem().Reason).To(gomega.Equal("no-quorum"))
 	g.Expect(res.problem().Run).To(gomega.Equal("no"))
-	status, _ := cut.change("", 1, settings.Entries{"#deadline": "1s"})
+	status, _ := cut.proposeChange("", 1, settings.Entries{"#deadline": "1s"})
 	g.Expect(status).To(gomega.Equal(503))
 	// The others go on changing settings.
 	g.Eventually(func() string {
-		_, r = nodes[0].change("kept", 1, settings.Entries{"#deadline": "4s"})
+		_, r = nodes[0].proposeChange("kept", 1, settings.Entries{"#deadline": "4s"})
 		return r.Reason
 	}, 10*time.Second).Should(gomega.Equal("none"))
 	g.Expect(cut.conf.Load().version).To(gomega.Equal(uint64(1)))
 
-	nw.both(cut, nodes[0], false)
-	nw.both(cut, nodes[1], false)
+	nw.setCutBothWays(cut, nodes[0], false)
+	nw.setCutBothWays(cut, nodes[1], false)
 	healed := time.Now()
-	cut.hasVersion(2)
+	cut.awaitConfigVersion(2)
 	t.Logf("settings caught up %s after the cut was healed", time.Since(healed).Round(time.Millisecond))
 	g.Eventually(func() bool { return cut.view.Load().domains["a"].Reachable }, 10*time.Second).Should(gomega.BeTrue())
 	cut.serves("suva/cover-desk", 3)
@@ -185,7 +185,7 @@
 // TestWhoAnsweredIsForgottenWithTheLead: a replica that led, and leads again later,
 // must not judge the members by who answered in its earlier lead. It would move a
 // member back to an address that it has left, or count a replaced disk as lost.
-func TestWhoAnsweredIsForgottenWithTheLead(t *testing.T) {
+func TestLosingLeadershipClearsVerifiedReplicas(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := startReplicas(t, "a", "b", "c")
 	nw := newNetwork(nodes...)
@@ -193,7 +193,7 @@
 	g.Eventually(old.replicas.verifiedReplicas, 5*time.Second).ShouldNot(gomega.BeEmpty())
 	for _, n := range nodes {
 		if n != old {
-			nw.both(n, old, true)
+			nw.setCutBothWays(n, old, true)
 		}
 	}
 	g.Eventually(func() bool { return old.replicas.leadsAny() }, 5*time.Second).Should(gomega.BeFalse())
@@ -202,14 +202,14 @@
 
 // TestOneWayCutReplicaNeitherBlocksNorAnswers: the leader still sends to the
 // others but hears nothing of them.
-func TestOneWayCutReplicaNeitherBlocksNorAnswers(t *testing.T) {
+func TestLeaderThatReceivesNothingStepsDown(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := startReplicas(t, "a", "b", "c")
 	nw := newNetwork(nodes...)
 	old := awaitLeader(t, nodes)
 	for _, n := range nodes {
 		if n != old {
-			nw.set(n, old, true)
+			nw.setCut(n, old, true)
 		}
 	}
 	g.Eventually(func() bool { return old.replicas.groups[configGroup].leads.Load() }, 5*time.Second).Should(gomega.BeFalse())
@@ -220,7 +220,7 @@
 		}
 	}
 	g.Eventually(func() string {
-		_, r := other.change("one", 0, settings.Entries{"#deadline": "2s"})
+		_, r := other.proposeChange("one", 0, settings.Entries{"#deadline": "2s"})
 		return r.Reason
 	}, 10*time.Second).Should(gomega.Equal("none"))
 	_, _, err := old.replicas.readConfig(time.Second)
--- a/internal/node/paths_test.go
+++ b/internal/node/paths_test.go
@@ -12,7 +12,7 @@
 // TestLevelsLearntAtTheEntryAreNotEchoed: what a node learnt as an entry must
 // not come back to others as a level below it, or two nodes go on telling each
 // other of an overload that is over.
-func TestLevelsLearntAtTheEntryAreNotEchoed(t *testing.T) {
+func TestEntryLevelsAreNotReportedUpstream(t *testing.T) {
 	g := gomega.NewWithT(t)
 	o := DefaultOptions()
 	o.Domain = "a"
--- a/internal/node/replica_test.go
+++ b/internal/node/replica_test.go
@@ -65,7 +65,7 @@
 }
 
 // change proposes a change at a node and returns the status and the result.
-func (n *testNode) change(id string, base uint64, set settings.Entries) (int, ChangeResult) {
+func (n *testNode) proposeChange(id string, base uint64, set settings.Entries) (int, ChangeResult) {
 	body, err := json.Marshal(ChangeRequest{ID: id, Base: base, Set: set})
 	if err != nil {
 		n.t.Fatal(err)
@@ -80,13 +80,13 @@
 	return resp.StatusCode, r
 }
 
-func (n *testNode) hasVersion(v uint64) {
+func (n *testNode) awaitConfigVersion(v uint64) {
 	n.t.Helper()
 	gomega.NewWithT(n.t).Eventually(func() uint64 { return n.conf.Load().version }, 10*time.Second, 5*time.Millisecond).
 		Should(gomega.BeNumerically(">=", v))
 }
 
-func TestRacingChangesHaveOneWinner(t *testing.T) {
+func TestConcurrentChangesHaveOneWinner(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := startReplicas(t, "a", "b", "c")
 	plain := startNode(t, "b", []string{nodes[0].opt.Control}, nil)
@@ -101,7 +101,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			_, results[i] = n.change(ids[i], 0, settings.Entries{"#deadline": formatUint(uint64(i+1)) + "s"})
+			_, results[i] = n.proposeChange(ids[i], 0, settings.Entries{"#deadline": formatUint(uint64(i+1)) + "s"})
 		}()
 	}
 	wg.Wait()
@@ -120,9 +120,9 @@
 		}
 	}
 	for i, n := range all {
-		n.hasVersion(1)
+		n.awaitConfigVersion(1)
 		// A resend at another node gets the first result.
-		_, again := n.change(ids[(i+1)%len(all)], 0, settings.Entries{"#deadline": "9s"})
+		_, again := n.proposeChange(ids[(i+1)%len(all)], 0, settings.Entries{"#deadline": "9s"})
 		g.Expect(again).To(gomega.Equal(results[(i+1)%len(all)]))
 	}
 }
@@ -130,12 +130,12 @@
 func TestKeyedRequestRunsOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := startReplicas(t, "a", "b", "c")
-	_, r := nodes[1].change("", 0, settings.Entries{
+	_, r := nodes[1].proposeChange("", 0, settings.Entries{
 		"suva/claims-hub/lodge#key_required": "true", "suva/claims-hub/lodge#class": "protected",
 	})
 	g.Expect(r.Reason).To(gomega.Equal("none"))
 	for _, n := range nodes {
-		n.hasVersion(1)
+		n.awaitConfigVersion(1)
 	}
 	server := startStandin(t, nodes[2], "suva/claims-hub", 8, map[string]standin.Kind{"lodge": {Time: 20 * time.Millisecond, Answer: 64}})
 	for _, n := range nodes {
@@ -169,7 +169,7 @@
 // TestAReplicaIsKnownByTheAddressThatItTells: the settings name a replica by an
 // address that it does not tell the others, as behind a forwarder. It must not
 // enter the group under that address: the others reach it where it says.
-func TestAReplicaIsKnownByTheAddressThatItTells(t *testing.T) {
+func TestReplicaIsKnownByItsAdvertisedAddress(t *testing.T) {
 	g := gomega.NewWithT(t)
 	told := freeAddr(t)
 	far := startNode(t, "b", nil, func(o *Options) {
--- a/internal/node/reunion_test.go
+++ b/internal/node/reunion_test.go
@@ -21,11 +21,11 @@
 // (heard_ms_ago).
 
 // settingsDue is how long after its acceptance a change may take to be in force.
-const settingsDue = 2 * time.Second
+const maxSettingsDelay = 2 * time.Second
 
 // comeBack starts a node that ended anew, at the same addresses and with the same
 // disk.
-func (n *testNode) comeBack() *testNode {
+func (n *testNode) restart() *testNode {
 	n.t.Helper()
 	var next *Node
 	gomega.NewWithT(n.t).Eventually(func() error {
@@ -39,7 +39,7 @@
 	return &testNode{next, n.t}
 }
 
-func TestSettingsAreInForceSoonAfterAllReplicasReturn(t *testing.T) {
+func TestSettingsPropagateAfterAllReplicasRestart(t *testing.T) {
 	g := gomega.NewWithT(t)
 	replicas := startReplicas(t, "a", "b")
 	boot := []string{replicas[0].opt.Control, replicas[1].opt.Control}
@@ -60,16 +60,16 @@
 			g.Eventually(func() int { return len(n.view.Load().replicas) }, 20*time.Second, 10*time.Millisecond).Should(gomega.BeZero())
 		}
 		for i, r := range replicas {
-			replicas[i] = r.comeBack()
+			replicas[i] = r.restart()
 		}
 		g.Eventually(func() string {
-			_, r := replicas[0].change("", version, settings.Entries{"#deadline": formatUint(version+1) + "s"})
+			_, r := replicas[0].proposeChange("", version, settings.Entries{"#deadline": formatUint(version+1) + "s"})
 			return r.Reason
 		}, 20*time.Second, 10*time.Millisecond).Should(gomega.Equal("none"))
 		version++
 		accepted := time.Now()
 		for _, n := range plain {
-			g.Eventually(func() uint64 { return n.conf.Load().version }, time.Until(accepted.Add(settingsDue)), time.Millisecond).
+			g.Eventually(func() uint64 { return n.conf.Load().version }, time.Until(accepted.Add(maxSettingsDelay)), time.Millisecond).
 				Should(gomega.Equal(version), n.opt.Name)
 		}
 		t.Logf("in force on all nodes %s after its acceptance", time.Since(accepted).Round(time.Millisecond))
--- a/internal/node/stall_test.go
+++ b/internal/node/stall_test.go
@@ -97,7 +97,7 @@
 	g.Eventually(func() int { return leaderOf(nodes) }, 10*time.Second, 5*time.Millisecond).Should(gomega.BeNumerically(">=", 0))
 	stalled := leaderOf(nodes)
 	asked := nodes[(stalled+1)%len(nodes)]
-	status, res := asked.change("before", 0, settings.Entries{"#deadline": "1s"})
+	status, res := asked.proposeChange("before", 0, settings.Entries{"#deadline": "1s"})
 	g.Expect(status).To(gomega.Equal(200))
 	version := res.Version
 	disks[stalled].stall()
@@ -105,7 +105,7 @@
 	const changes, every = 30, 100 * time.Millisecond
 	for i := range changes {
 		began := time.Now()
-		status, res = asked.change(fmt.Sprint("during-", i), version, settings.Entries{"#deadline": fmt.Sprintf("%ds", i+2)})
+		status, res = asked.proposeChange(fmt.Sprint("during-", i), version, settings.Entries{"#deadline": fmt.Sprintf("%ds", i+2)})
 		g.Expect(status).To(gomega.Equal(200), "change %d: %+v", i, res)
 		g.Expect(time.Since(began)).To(gomega.BeNumerically("<", time.Second), "change %d", i)
 		version = res.Version
@@ -117,7 +117,7 @@
 		own := nodes[stalled].replicas.groups[configGroup]
 		return !own.leads.Load() && own.applied.Load() >= nodes[leaderOf(nodes)].replicas.groups[configGroup].applied.Load()
 	}, 10*time.Second, 10*time.Millisecond).Should(gomega.BeTrue())
-	nodes[stalled].hasVersion(version)
+	nodes[stalled].awaitConfigVersion(version)
 }
 
 // A replica is lost for longer than it takes to count a disk as stalled, or the group
@@ -134,7 +134,7 @@
 			}
 			version := uint64(0)
 			for end := time.Now().Add(stallTicks*raftTickInterval + 2*time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-				status, res := nodes[leader].change("", version, settings.Entries{"#deadline": fmt.Sprintf("%ds", version+2)})
+				status, res := nodes[leader].proposeChange("", version, settings.Entries{"#deadline": fmt.Sprintf("%ds", version+2)})
 				g.Expect(status).To(gomega.Equal(200), "%+v", res)
 				version = res.Version
 			}
@@ -190,7 +190,7 @@
 	version := uint64(0)
 	g.Eventually(func() bool {
 		// A disk that has nothing to save hangs unseen.
-		_, res := nodes[leader].change("", version, settings.Entries{"#deadline": fmt.Sprintf("%ds", version+2)})
+		_, res := nodes[leader].proposeChange("", version, settings.Entries{"#deadline": fmt.Sprintf("%ds", version+2)})
 		version = max(version, res.Version)
 		conf := nodes[leader].replicas.groups[configGroup].conf.Load()
 		return conf.Voter(spare.replicas.id) && !conf.Voter(nodes[hung].replicas.id)
