--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -25,7 +25,7 @@
 )
 
 func (n *Node) callerRoutes() http.Handler {
-	if n.opt.Edge != nil {
+	if n.opt.HTTPAdapter != nil {
 		return http.HandlerFunc(n.serveCall)
 	}
 	r := mux.NewRouter()
--- a/internal/node/edge.go
+++ b/internal/node/edge.go
@@ -69,7 +69,7 @@
 // openRouted finds the request kind of a request by its host and path.
 func (n *Node) openRouted(r *http.Request) (*call, *fault.Error) {
 	c := &call{method: r.Method, path: r.RequestURI, started: time.Now()}
-	arrival, ferr := n.opt.Edge.Arrive(r)
+	arrival, ferr := n.opt.HTTPAdapter.Arrive(r)
 	c.id, c.caller = arrival.ID, arrival.Caller
 	if ferr != nil {
 		return c, ferr
@@ -146,7 +146,7 @@
 		h["User-Agent"] = []string{""}
 	}
 	f := Forwarding{ID: c.id, Remaining: c.scope.Remaining(), Instance: be.instance}
-	n.opt.Edge.Forward(h, f)
+	n.opt.HTTPAdapter.Forward(h, f)
 	return &http.Request{Method: c.method, URL: opaqueURL(c.path), Host: host, Header: h, ContentLength: c.bodyLen}, f
 }
 
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -67,7 +67,7 @@
 
 // openAny reads what the request says of itself in the words of the edge.
 func (n *Node) openAny(r *http.Request) (*call, *fault.Error) {
-	if n.opt.Edge != nil {
+	if n.opt.HTTPAdapter != nil {
 		return n.openRouted(r)
 	}
 	return n.open(r)
@@ -75,8 +75,8 @@
 
 // writeRefusal refuses a request that was not taken in.
 func (n *Node) writeRefusal(w http.ResponseWriter, r *http.Request, c *call, e *fault.Error) {
-	if n.opt.Edge != nil {
-		n.opt.Edge.Refuse(w, c.id, e)
+	if n.opt.HTTPAdapter != nil {
+		n.opt.HTTPAdapter.Refuse(w, c.id, e)
 		return
 	}
 	writeRefusal(w, r.Header.Get(HeaderRequestID), e)
@@ -245,8 +245,8 @@
 		// Nobody is there to read an answer.
 		panic(http.ErrAbortHandler)
 	}
-	if n.opt.Edge != nil {
-		n.opt.Edge.Refuse(w, c.id, e)
+	if n.opt.HTTPAdapter != nil {
+		n.opt.HTTPAdapter.Refuse(w, c.id, e)
 		return
 	}
 	writeRefusal(w, c.id, e)
@@ -272,7 +272,7 @@
 	for _, f := range a.header {
 		h[f.Name] = append(h[f.Name], f.Value)
 	}
-	if n.opt.Edge == nil {
+	if n.opt.HTTPAdapter == nil {
 		h.Set(HeaderRequestID, c.id)
 	} else if _, ok := h["Content-Type"]; !ok {
 		// An empty field keeps net/http from guessing one.
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -118,7 +118,7 @@
 	if fieldValue(a.header, HeaderRun) == "" {
 		return a, nil
 	}
-	if n.opt.Edge != nil {
+	if n.opt.HTTPAdapter != nil {
 		// The platform's callers get the backend server's own answer.
 		if c.parent != nil {
 			c.parent.failedBelow.Store(true)
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -115,7 +115,7 @@
 		a.length = 0
 	}
 	a.header = keepRun(a.header, resp.Header)
-	if n.opt.Edge != nil && resp.StatusCode >= http.StatusInternalServerError && w.failedBelow.Load() {
+	if n.opt.HTTPAdapter != nil && resp.StatusCode >= http.StatusInternalServerError && w.failedBelow.Load() {
 		a.header = append(a.header, wireField{Name: HeaderRun, Value: fault.RunUnknown.String()})
 	}
 	a.close = func() {
@@ -128,7 +128,7 @@
 		n.endWork(w)
 		n.gate.leave(admission.Outcome{Kind: kind, Took: took, Expired: expired, Pushback: pushback})
 	}
-	if n.opt.Edge != nil && c.method != http.MethodHead {
+	if n.opt.HTTPAdapter != nil && c.method != http.MethodHead {
 		if err := a.readWhole(); err != nil {
 			a.close()
 			return nil, fault.Wrap(fault.BackendLost, err, "the answer broke off").Unknown()
@@ -140,7 +140,7 @@
 // tokenFor returns what the calls made for a request are recognised by: its id
 // where the edge tells parents by their ids, else a token of its own.
 func (n *Node) tokenFor(c *call) string {
-	if n.opt.Edge != nil {
+	if n.opt.HTTPAdapter != nil {
 		return c.id
 	}
 	return n.newToken()
@@ -155,17 +155,17 @@
 
 // check tells whether an answer belongs to the request.
 func (x *exchange) check(r *http.Response) bool {
-	if x.n.opt.Edge == nil {
+	if x.n.opt.HTTPAdapter == nil {
 		return true
 	}
-	x.judged = x.n.opt.Edge.Judge(r, x.to)
+	x.judged = x.n.opt.HTTPAdapter.Judge(r, x.to)
 	return !x.judged.Foreign
 }
 
 func (n *Node) requestFor(be *local, c *call, w *work, pool *budget.Pool) (*http.Request, *exchange) {
 	x := &exchange{n: n}
 	var req *http.Request
-	if n.opt.Edge != nil {
+	if n.opt.HTTPAdapter != nil {
 		req, x.to = n.edgeRequest(be, c)
 	} else {
 		req = n.backendRequest(be, c, w, pool)
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -75,7 +75,7 @@
 
 	// HTTPAdapter replaces the default HTTP interface to callers and backend servers; nil
 	// keeps the default.
-	Edge Edge `toml:"-"`
+	HTTPAdapter Edge `toml:"-"`
 	// wrapLog lets tests wrap the log of a group.
 	wrapLog func(replicaLog) replicaLog
 }
