--- a/internal/ctl/replicas.go
+++ b/internal/ctl/replicas.go
@@ -39,7 +39,7 @@
 	}
 	t := o.table("GROUP", "LEADER", "VOTERS", "LEARNERS", "BEARS A LOSS", "LAST REPAIR")
 	for _, g := range groups {
-		t.row(g.Group, g.Node, len(g.Voters), len(g.Learners), g.BearsLoss, repairTime(g.RepairMs))
+		t.row(g.Group, g.Node, len(g.Voters), len(g.Learners), g.ToleratesFailure, repairTime(g.RepairMs))
 	}
 	return t.flush()
 }
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -137,8 +137,8 @@
 	Applied uint64 `json:"applied"`
 	// ToleratesFailure reports, on the leader, whether the group can still commit if
 	// one more replica fails. RepairMs is how long it last could not, in milliseconds.
-	BearsLoss bool  `json:"bears_loss"`
-	RepairMs  int64 `json:"repair_ms,omitempty"`
+	ToleratesFailure bool  `json:"bears_loss"`
+	RepairMs         int64 `json:"repair_ms,omitempty"`
 	// SavingMs is how long the save in progress on this replica has taken, in
 	// milliseconds. Stalled reports, on the leader, whether too few disks answer for a
 	// change to be accepted.
@@ -201,7 +201,7 @@
 	s := &ReplicaStatus{ID: r.id}
 	for _, g := range r.groups {
 		gs := GroupStatus{Group: g.id, Leads: g.leads.Load(), Leader: r.leaderAddr(g.id), Applied: g.applied.Load()}
-		gs.BearsLoss = gs.Leads && g.toleratesFailure.Load()
+		gs.ToleratesFailure = gs.Leads && g.toleratesFailure.Load()
 		gs.SavingMs = time.Duration(g.saveTime.Load()).Milliseconds()
 		gs.Stalled = g.stalled.Load()
 		gs.RepairMs = time.Duration(g.lastRepairTime.Load()).Milliseconds()
--- a/internal/soak/replicas.go
+++ b/internal/soak/replicas.go
@@ -46,7 +46,7 @@
 		}
 		for _, g := range s.Replica.Groups {
 			whole := len(g.Voters) == replicas && len(g.Learners) == 0
-			bears[g.Group] = bears[g.Group] || g.BearsLoss && whole
+			bears[g.Group] = bears[g.Group] || g.ToleratesFailure && whole
 		}
 	}
 	if len(bears) == 0 {
