--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -396,9 +396,9 @@
 
 func (n *Node) serveDrain(w http.ResponseWriter, r *http.Request) {
 	on := r.URL.Query().Get("on") != "false"
-	e := eventUndrain
+	e := nodeEventUndrain
 	if on {
-		e = eventDrain
+		e = nodeEventDrain
 	}
 	if !n.state.applyEvent(nodeChart, e) {
 		writeRefusal(w, "", fault.New(fault.Conflict, "the node is "+nodeChart.Text(n.state.load())))
--- a/internal/node/edge.go
+++ b/internal/node/edge.go
@@ -126,7 +126,7 @@
 // Ready tells whether the node serves callers: it runs, it is not stopping
 // and it knows settings.
 func (n *Node) Ready() bool {
-	return n.state.load() == nodeServing && n.conf.Load().version > 0
+	return n.state.load() == nodeStateServing && n.conf.Load().version > 0
 }
 
 // edgeRequest makes the request for the backend server: method, path, host
--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -222,7 +222,7 @@
 // disk is unknown; the next start checks it and takes a new identity if it is damaged.
 func (g *group) fail(err error) {
 	g.failed = true
-	g.applyEvent(eventDiskFailed)
+	g.applyEvent(replicaEventDiskFailed)
 	g.leads.Store(false)
 	g.replicas.node.logEvent("replica", "Replica stopped after a disk error: "+err.Error())
 }
@@ -284,9 +284,9 @@
 // follower in between.
 func (g *group) changeRole(role raft.Role) {
 	if g.role == raft.Leader && role != raft.Follower {
-		g.applyEvent(roleEvents[raft.Follower])
+		g.applyEvent(replicaRoleEvents[raft.Follower])
 	}
-	g.applyEvent(roleEvents[role])
+	g.applyEvent(replicaRoleEvents[role])
 	g.role = role
 }
 
--- a/internal/node/life.go
+++ b/internal/node/life.go
@@ -12,17 +12,17 @@
 // The state charts of the node, its backend server, its replicas and requests, with
 // the events and states that the code uses.
 var (
-	nodeChart       = chart.MustLoad("node")
-	eventConfigured = nodeChart.Event("configured")
-	eventDrain      = nodeChart.Event("drain")
-	eventUndrain    = nodeChart.Event("undrain")
-	eventStop       = nodeChart.Event("stop")
-	eventIdle       = nodeChart.Event("idle")
-	eventTimeout    = nodeChart.Event("timeout")
-
-	nodeServing = nodeChart.State("serving")
-	nodeLeaving = nodeChart.State("leaving")
-	nodeStopped = nodeChart.State("stopped")
+	nodeChart           = chart.MustLoad("node")
+	nodeEventConfigured = nodeChart.Event("configured")
+	nodeEventDrain      = nodeChart.Event("drain")
+	nodeEventUndrain    = nodeChart.Event("undrain")
+	nodeEventStop       = nodeChart.Event("stop")
+	nodeEventIdle       = nodeChart.Event("idle")
+	nodeEventTimeout    = nodeChart.Event("timeout")
+
+	nodeStateServing = nodeChart.State("serving")
+	nodeStateLeaving = nodeChart.State("leaving")
+	nodeStateStopped = nodeChart.State("stopped")
 
 	backendChart  = chart.MustLoad("backend")
 	backendEvents = map[member.State]chart.Event{
@@ -31,25 +31,25 @@
 		member.Draining: backendChart.Event("say-draining"),
 	}
 
-	replicaChart    = chart.MustLoad("replica")
-	eventDiskFailed = replicaChart.Event("disk-failed")
-	roleEvents      = map[raft.Role]chart.Event{
+	replicaChart           = chart.MustLoad("replica")
+	replicaEventDiskFailed = replicaChart.Event("disk-failed")
+	replicaRoleEvents      = map[raft.Role]chart.Event{
 		raft.Follower:     replicaChart.Event("step-down"),
 		raft.PreCandidate: replicaChart.Event("campaign"),
 		raft.Candidate:    replicaChart.Event("promising"),
 		raft.Leader:       replicaChart.Event("elected"),
 	}
 
-	requestChart   = chart.MustLoad("request")
-	requestRefuse  = requestChart.Event("refuse")
-	requestAdmit   = requestChart.Event("admit")
-	requestExpire  = requestChart.Event("expire")
-	requestSend    = requestChart.Event("send")
-	requestAnswer  = requestChart.Event("answer")
-	requestLose    = requestChart.Event("lose")
-	requestNotSent = requestChart.Event("not-sent")
-	requestUnknown = requestChart.State("unknown")
-	requestRefused = requestChart.State("refused")
+	requestChart        = chart.MustLoad("request")
+	requestEventRefuse  = requestChart.Event("refuse")
+	requestEventAdmit   = requestChart.Event("admit")
+	requestEventExpire  = requestChart.Event("expire")
+	requestEventSend    = requestChart.Event("send")
+	requestEventAnswer  = requestChart.Event("answer")
+	requestEventLose    = requestChart.Event("lose")
+	requestEventNotSent = requestChart.Event("not-sent")
+	requestStateUnknown = requestChart.State("unknown")
+	requestStateRefused = requestChart.State("refused")
 )
 
 // requestProgress is the state of a request in the request chart. It determines what
@@ -66,9 +66,9 @@
 // execution returns whether the request ran, did not run, or may have run.
 func (p *requestProgress) execution() fault.Run {
 	switch p.state {
-	case requestRefused:
+	case requestStateRefused:
 		return fault.RunNo
-	case requestUnknown:
+	case requestStateUnknown:
 		return fault.RunUnknown
 	default:
 		return fault.RunYes
@@ -98,16 +98,16 @@
 // stopping reports whether the node has begun to stop.
 func (n *Node) stopping() bool {
 	s := n.state.load()
-	return s == nodeLeaving || s == nodeStopped
+	return s == nodeStateLeaving || s == nodeStateStopped
 }
 
 // rejectsNewWork reports whether this node passes no new requests to its backend
 // server. A stopping node still does until it has announced its departure.
 func (n *Node) rejectsNewWork() bool {
 	switch n.state.load() {
-	case nodeServing:
+	case nodeStateServing:
 		return false
-	case nodeLeaving:
+	case nodeStateLeaving:
 		return n.departureAnnounced.Load()
 	default:
 		return true
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -55,29 +55,29 @@
 		Busy: n.nestedLevels.Level(c.root, n.clock()) > 0,
 	})
 	if code != fault.None {
-		p.applyEvent(requestRefuse)
+		p.applyEvent(requestEventRefuse)
 		l := n.gate.load()
 		e := c.refusal(code, "refused beside the backend server", l.level)
 		e.Run = p.execution()
 		return nil, e
 	}
-	p.applyEvent(requestAdmit)
+	p.applyEvent(requestEventAdmit)
 	if ferr := n.quarantine.refusal(c); ferr != nil {
 		n.gate.leave(admission.Outcome{})
-		p.applyEvent(requestExpire)
+		p.applyEvent(requestEventExpire)
 		ferr.Run = p.execution()
 		return nil, ferr
 	}
 	// The process may have been frozen since the request was admitted.
 	if code := c.scope.Err(); code != fault.None {
 		n.gate.leave(admission.Outcome{})
-		p.applyEvent(requestExpire)
+		p.applyEvent(requestEventExpire)
 		return nil, &fault.Error{Code: code, Run: p.execution(), Detail: "given up before it was run"}
 	}
 	w := &work{token: n.tokenFor(c), call: c, start: be.start, scope: c.scope.Child(c.scope.Deadline())}
 	n.executionsByToken.Store(w.token, w)
 	started := time.Now()
-	p.applyEvent(requestSend)
+	p.applyEvent(requestEventSend)
 	req, mine := n.requestFor(be, c, w, pool)
 	resp, err := be.client.Do(w.scope, backend.Traits{Kind: kind, Idempotent: c.policy.Idempotent}, req, mine.check)
 	if err == nil && mine.judged.NotRun != fault.None {
@@ -92,16 +92,16 @@
 		}
 		n.gate.leave(out)
 		if ferr.Run == fault.RunNo {
-			p.applyEvent(requestNotSent)
+			p.applyEvent(requestEventNotSent)
 		} else {
-			p.applyEvent(requestLose)
+			p.applyEvent(requestEventLose)
 		}
 		ferr.Run = p.execution()
 		n.noteBroken(be, c, ferr)
 		n.backendFailed(be, ferr)
 		return nil, ferr
 	}
-	p.applyEvent(requestAnswer)
+	p.applyEvent(requestEventAnswer)
 	pushback := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests
 	pushback = pushback && resp.Header.Get(HeaderRun) == ""
 	took := time.Since(started)
@@ -189,7 +189,7 @@
 	resp.Close()
 	n.endWork(w)
 	n.gate.leave(admission.Outcome{Pushback: code == fault.Rejected})
-	p.applyEvent(requestNotSent)
+	p.applyEvent(requestEventNotSent)
 	if code == fault.NoBackend && n.local.Load() == be {
 		n.replaceLocal(nil, "another stands at its address")
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -193,7 +193,7 @@
 	}
 	n.serveInBackground("admin", func() error { return n.adminSrv.Serve(lns.admin) })
 	n.awaitConfig()
-	n.state.applyEvent(nodeChart, eventConfigured)
+	n.state.applyEvent(nodeChart, nodeEventConfigured)
 	n.publishMeta()
 	n.serveInBackground("data", func() error { return n.wireSrv.Serve(lns.data) })
 	arrivals := callers.Listen(lns.http)
@@ -321,7 +321,7 @@
 // reports whether all requests finished. Only the first call stops the node;
 // later calls return true at once.
 func (n *Node) Stop() bool {
-	if !n.state.applyEvent(nodeChart, eventStop) {
+	if !n.state.applyEvent(nodeChart, nodeEventStop) {
 		return true
 	}
 	n.stopStarted.Store(int64(n.clock()))
@@ -337,9 +337,9 @@
 	time.Sleep(min(departureGrace, maxWait))
 	done := n.awaitIdle(deadline)
 	if done {
-		n.state.applyEvent(nodeChart, eventIdle)
+		n.state.applyEvent(nodeChart, nodeEventIdle)
 	} else {
-		n.state.applyEvent(nodeChart, eventTimeout)
+		n.state.applyEvent(nodeChart, nodeEventTimeout)
 	}
 	if err := n.httpSrv.Shutdown(ctx); err != nil {
 		done = false
