--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -74,8 +74,8 @@
 	// HeardVersion is the highest version of the settings that the node knows to exist.
 	// ActivationDelayMs is how long the latest one took to become active after the node learned
 	// of it, in milliseconds.
-	HeardVersion uint64 `json:"config_heard_version"`
-	LateMs       int64  `json:"config_late_ms"`
+	HeardVersion      uint64 `json:"config_heard_version"`
+	ActivationDelayMs int64  `json:"config_late_ms"`
 	// Replicas is the number of replicas that the node knows.
 	Replicas int `json:"replicas_known"`
 	// Lost is the number of unresponsive addresses that the node still probes.
@@ -153,7 +153,7 @@
 	v := n.view.Load()
 	s := Status{
 		ID: n.id, Name: n.opt.Name, Domain: n.opt.Domain, UptimeMs: n.clock().Milliseconds(),
-		Config: n.conf.Load().version, HeardVersion: n.gossip.highestVersion.Load(), LateMs: n.versions.activationDelay().Milliseconds(), Replicas: len(v.replicas), Lost: n.gossip.lostAddresses(), Backend: n.backendStatus(), State: nodeChart.Text(n.state.load()),
+		Config: n.conf.Load().version, HeardVersion: n.gossip.highestVersion.Load(), ActivationDelayMs: n.versions.activationDelay().Milliseconds(), Replicas: len(v.replicas), Lost: n.gossip.lostAddresses(), Backend: n.backendStatus(), State: nodeChart.Text(n.state.load()),
 		Members: len(v.members) + 1, InFlight: n.stats.inflight.Load(), Served: n.stats.served.Load(), Calls: n.stats.calls.Load(),
 		Retries: n.stats.retries.Load(), Refusals: n.stats.bySlug(), Cut: n.stats.cut.Load(),
 		Silent: n.peers.silent(), Domains: map[string]bool{}, Replica: n.replicas.status(), Dropped: n.droppedCounts(),
