--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -78,12 +78,12 @@
 	ActivationDelayMs int64  `json:"config_late_ms"`
 	// Replicas is the number of replicas that the node knows.
 	Replicas int `json:"replicas_known"`
-	// Lost is the number of unresponsive addresses that the node still probes.
-	Lost     int           `json:"addresses_lost"`
-	Backend  BackendStatus `json:"backend"`
-	State    string        `json:"state"`
-	Members  int           `json:"members"`
-	InFlight int64         `json:"in_flight"`
+	// UnresponsiveAddresses is the number of unresponsive addresses that the node still probes.
+	UnresponsiveAddresses int           `json:"addresses_lost"`
+	Backend               BackendStatus `json:"backend"`
+	State                 string        `json:"state"`
+	Members               int           `json:"members"`
+	InFlight              int64         `json:"in_flight"`
 	// Served counts the answered requests from callers and from the node's backend
 	// server.
 	Served int64 `json:"served"`
@@ -153,7 +153,7 @@
 	v := n.view.Load()
 	s := Status{
 		ID: n.id, Name: n.opt.Name, Domain: n.opt.Domain, UptimeMs: n.clock().Milliseconds(),
-		Config: n.conf.Load().version, HeardVersion: n.gossip.highestVersion.Load(), ActivationDelayMs: n.versions.activationDelay().Milliseconds(), Replicas: len(v.replicas), Lost: n.gossip.lostAddresses(), Backend: n.backendStatus(), State: nodeChart.Text(n.state.load()),
+		Config: n.conf.Load().version, HeardVersion: n.gossip.highestVersion.Load(), ActivationDelayMs: n.versions.activationDelay().Milliseconds(), Replicas: len(v.replicas), UnresponsiveAddresses: n.gossip.lostAddresses(), Backend: n.backendStatus(), State: nodeChart.Text(n.state.load()),
 		Members: len(v.members) + 1, InFlight: n.stats.inflight.Load(), Served: n.stats.served.Load(), Calls: n.stats.calls.Load(),
 		Retries: n.stats.retries.Load(), Refusals: n.stats.bySlug(), Cut: n.stats.cut.Load(),
 		Silent: n.peers.silent(), Domains: map[string]bool{}, Replica: n.replicas.status(), Dropped: n.droppedCounts(),
