--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -92,8 +92,8 @@
 	Retries int64 `json:"retries"`
 	// Refusals counts the refusals by reason.
 	Refusals map[string]int64 `json:"refusals"`
-	// Cut counts answers that broke off before their end.
-	Cut int64 `json:"cut_off_answers"`
+	// BrokenResponses counts answers that broke off before their end.
+	BrokenResponses int64 `json:"cut_off_answers"`
 	// Silent counts connections to other nodes that were found unresponsive.
 	Silent  int64        `json:"silent_connections"`
 	Control ControlBytes `json:"control_bytes"`
@@ -155,7 +155,7 @@
 		ID: n.id, Name: n.opt.Name, Domain: n.opt.Domain, UptimeMs: n.clock().Milliseconds(),
 		Config: n.conf.Load().version, HeardVersion: n.gossip.highestVersion.Load(), ActivationDelayMs: n.versions.activationDelay().Milliseconds(), Replicas: len(v.replicas), UnresponsiveAddresses: n.gossip.lostAddresses(), Backend: n.backendStatus(), State: nodeChart.Text(n.state.load()),
 		Members: len(v.members) + 1, InFlight: n.stats.inflight.Load(), Served: n.stats.served.Load(), Calls: n.stats.calls.Load(),
-		Retries: n.stats.retries.Load(), Refusals: n.stats.bySlug(), Cut: n.stats.cut.Load(),
+		Retries: n.stats.retries.Load(), Refusals: n.stats.bySlug(), BrokenResponses: n.stats.cut.Load(),
 		Silent: n.peers.silent(), Domains: map[string]bool{}, Replica: n.replicas.status(), Dropped: n.droppedCounts(),
 		Quarantined: n.quarantine.status(),
 	}
