--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -94,9 +94,9 @@
 	Refusals map[string]int64 `json:"refusals"`
 	// BrokenResponses counts answers that broke off before their end.
 	BrokenResponses int64 `json:"cut_off_answers"`
-	// Silent counts connections to other nodes that were found unresponsive.
-	Silent  int64        `json:"silent_connections"`
-	Control ControlBytes `json:"control_bytes"`
+	// SilentConnections counts connections to other nodes that were found unresponsive.
+	SilentConnections int64        `json:"silent_connections"`
+	Control           ControlBytes `json:"control_bytes"`
 	// Dropped counts the items dropped by full queues, by queue.
 	Dropped map[string]int64 `json:"dropped"`
 	Replica *ReplicaStatus   `json:"replica,omitempty"`
@@ -156,7 +156,7 @@
 		Config: n.conf.Load().version, HeardVersion: n.gossip.highestVersion.Load(), ActivationDelayMs: n.versions.activationDelay().Milliseconds(), Replicas: len(v.replicas), UnresponsiveAddresses: n.gossip.lostAddresses(), Backend: n.backendStatus(), State: nodeChart.Text(n.state.load()),
 		Members: len(v.members) + 1, InFlight: n.stats.inflight.Load(), Served: n.stats.served.Load(), Calls: n.stats.calls.Load(),
 		Retries: n.stats.retries.Load(), Refusals: n.stats.bySlug(), BrokenResponses: n.stats.cut.Load(),
-		Silent: n.peers.silent(), Domains: map[string]bool{}, Replica: n.replicas.status(), Dropped: n.droppedCounts(),
+		SilentConnections: n.peers.silent(), Domains: map[string]bool{}, Replica: n.replicas.status(), Dropped: n.droppedCounts(),
 		Quarantined: n.quarantine.status(),
 	}
 	c := &n.control.counter
