--- a/internal/ctl/burn.go
+++ b/internal/ctl/burn.go
@@ -79,7 +79,7 @@
 		for d := range a.Value.Domains {
 			known[d] = true
 		}
-		for reason, n := range a.Value.Sheds {
+		for reason, n := range a.Value.Refusals {
 			r.Refusals[reason] += n
 		}
 		for i := range a.Value.Kinds {
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -257,12 +257,12 @@
 
 // BurnReport is one node's part of the error-budget burn report.
 type BurnReport struct {
-	Node    string           `json:"node"`
-	Domain  string           `json:"failure_domain"`
-	Kinds   []BurnKind       `json:"kinds"`
-	Retries int64            `json:"retries"`
-	Domains map[string]bool  `json:"domains_reachable"`
-	Sheds   map[string]int64 `json:"refusals"`
+	Node     string           `json:"node"`
+	Domain   string           `json:"failure_domain"`
+	Kinds    []BurnKind       `json:"kinds"`
+	Retries  int64            `json:"retries"`
+	Domains  map[string]bool  `json:"domains_reachable"`
+	Refusals map[string]int64 `json:"refusals"`
 	// Service is the service of the node's backend server, and Overload its latest
 	// overload.
 	Service  string          `json:"service,omitempty"`
@@ -277,7 +277,7 @@
 }
 
 func (n *Node) serveBurn(w http.ResponseWriter, _ *http.Request) {
-	out := BurnReport{Node: n.opt.Name, Domain: n.opt.Domain, Retries: n.stats.retries.Load(), Domains: map[string]bool{}, Sheds: n.stats.bySlug(), Service: n.meta().Service, Overload: n.lastOverload.Load()}
+	out := BurnReport{Node: n.opt.Name, Domain: n.opt.Domain, Retries: n.stats.retries.Load(), Domains: map[string]bool{}, Refusals: n.stats.bySlug(), Service: n.meta().Service, Overload: n.lastOverload.Load()}
 	tree := n.conf.Load().tree
 	for _, k := range n.burn.Kinds(time.Now()) {
 		p := tree.Policy(k.Root)
