--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -19,11 +19,13 @@
 )
 
 const (
+	// maxChangeBytes bounds the body of a proposed change.
 	maxChangeBytes = 8 << 20
 	changeTimeout  = 5 * time.Second
 	historyLength  = 20
 )
 
+// callerRoutes returns the handler for callers and for the node's backend server.
 func (n *Node) callerRoutes() http.Handler {
 	if n.opt.HTTPAdapter != nil {
 		return http.HandlerFunc(n.serveCall)
@@ -43,6 +45,7 @@
 	})
 }
 
+// adminRoutes returns the handler for operators.
 func (n *Node) adminRoutes() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/v1/status", n.serveStatus).Methods(http.MethodGet)
@@ -92,7 +95,7 @@
 	Retries int64 `json:"retries"`
 	// Refusals counts the refusals by reason.
 	Refusals map[string]int64 `json:"refusals"`
-	// BrokenResponses counts answers that broke off before their end.
+	// BrokenResponses counts responses that broke off before their end.
 	BrokenResponses int64 `json:"cut_off_answers"`
 	// SilentConnections counts connections to other nodes that were found unresponsive.
 	SilentConnections int64        `json:"silent_connections"`
--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -52,9 +52,10 @@
 	Call string `json:"call"`
 }
 
-// maxAnnouncement bounds the body of an announcement, in bytes.
+// maxAnnouncementBytes bounds the body of an announcement.
 const maxAnnouncementBytes = 4 << 10
 
+// serveAnnounce handles the announcements of the node's backend server.
 func (n *Node) serveAnnounce(w http.ResponseWriter, r *http.Request) {
 	var a Announcement
 	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes))
@@ -100,6 +101,7 @@
 	return nil
 }
 
+// isServiceName reports whether s has the form fleet/service.
 func isServiceName(s string) bool {
 	target, rest, ok := splitTarget(s + "/k")
 	return ok && rest == "/" && target == s+"/k" && settings.ValidName("k")
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -21,6 +21,7 @@
 	changes []confstore.Change
 }
 
+// emptyConfig returns version 0, which has no entries.
 func emptyConfig() *config { return &config{tree: settings.Empty, entries: settings.Entries{}} }
 
 const (
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -37,6 +37,7 @@
 	return s
 }
 
+// serve accepts control connections until the listener is closed.
 func (s *controlServer) serve(ln net.Listener) error {
 	s.mu.Lock()
 	s.ln = ln
@@ -58,6 +59,7 @@
 	}
 }
 
+// close closes the listener and all connections, incoming and outgoing.
 func (s *controlServer) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -16,19 +16,22 @@
 )
 
 const (
-	gossipTickInterval  = 25 * time.Millisecond
-	gossipPeriod        = 500 * time.Millisecond
-	ackTimeout          = 150 * time.Millisecond
-	suspicionTimeout    = 2 * time.Second
-	forgetAfter         = 30 * time.Second
-	indirectProbes      = 3
-	maxPacketBytes      = 1100
-	maxDatagramBytes    = 16 << 10
+	gossipTickInterval = 25 * time.Millisecond
+	gossipPeriod       = 500 * time.Millisecond
+	ackTimeout         = 150 * time.Millisecond
+	suspicionTimeout   = 2 * time.Second
+	forgetAfter        = 30 * time.Second
+	indirectProbes     = 3
+	maxPacketBytes     = 1100
+	maxDatagramBytes   = 16 << 10
+	// nudgeFanout is how many random members receive urgent news at once.
 	nudgeFanout         = 3
 	packetQueueSize     = 1024
 	commandQueueSize    = 256
 	configHintQueueSize = 64
-	maxLinkFailures     = 2
+	// maxLinkFailures is how many exchanges in a row must fail before a failure domain
+	// is reported as unreachable.
+	maxLinkFailures = 2
 )
 
 // datagram is a received gossip packet and its sender's UDP address.
@@ -142,6 +145,7 @@
 	g.nextPublish = now + publishCostDivisor*(g.node.clock()-now)
 }
 
+// sendPacket sends a packet with this node's version of the settings attached.
 func (g *gossiper) sendPacket(o gossip.Out) {
 	o.Packet.Config = g.node.conf.Load().version
 	b := gossip.EncodePacket(o.Packet)
@@ -288,6 +292,7 @@
 	g.wakeLinks()
 }
 
+// close closes the UDP socket, which ends readLoop.
 func (g *gossiper) close() {
 	if g.udp != nil {
 		_ = g.udp.Close()
--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -132,6 +132,8 @@
 	}
 }
 
+// tick advances the core's clock and checks the disks and, on the leader, the
+// membership.
 func (g *group) tick() {
 	g.core.Tick()
 	g.ticks++
@@ -340,6 +342,7 @@
 	return repair.Group{Conf: conf, Self: g.replicas.id, Health: health, Candidates: g.replicas.verifiedReplicas()}
 }
 
+// repairOptions returns the options of the membership decision.
 func (g *group) repairOptions() repair.Options {
 	o := &g.replicas.node.opt
 	return repair.Options{
--- a/internal/node/life.go
+++ b/internal/node/life.go
@@ -78,6 +78,7 @@
 // atomicState is the current state of a chart, safe for concurrent use.
 type atomicState struct{ state atomic.Uint32 }
 
+// load returns the current state.
 func (l *atomicState) load() chart.State { return chart.State(l.state.Load()) }
 
 // applyEvent applies an event. It returns false if the chart does not allow the event
@@ -102,7 +103,7 @@
 }
 
 // rejectsNewWork reports whether this node passes no new requests to its backend
-// server. A stopping node still does until it has announced its departure.
+// server. A stopping node still passes them on until it has announced its departure.
 func (n *Node) rejectsNewWork() bool {
 	switch n.state.load() {
 	case nodeStateServing:
--- a/internal/node/news_test.go
+++ b/internal/node/news_test.go
@@ -28,6 +28,8 @@
 	g.Expect(source).To(gomega.Equal(viaDisk))
 }
 
+// The tracker must report changes of the availability of replicas, and how long none
+// was known.
 func TestVersionTrackerReportsTimeWithoutReplicas(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var tracker versionTracker
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -65,7 +65,7 @@
 	// local is the backend server, nil if there is none. localMu serialises changes.
 	local             atomic.Pointer[local]
 	localMu           sync.Mutex
-	executionsByToken sync.Map // token -> *work, the requests at the backend server
+	executionsByToken sync.Map // token -> *work, requests in flight at the backend server
 	lastToken         atomic.Uint64
 
 	lastAttemptID atomic.Uint64
@@ -113,8 +113,10 @@
 }
 
 const (
-	maxTraces           = 4096
-	maxEvents           = 512
+	// maxTraces and maxEvents bound the traces and events kept for umberctl.
+	maxTraces = 4096
+	maxEvents = 512
+	// connIdleTimeout is when idle connections of callers and peers are closed.
 	connIdleTimeout     = 2 * time.Minute
 	maintenanceInterval = 250 * time.Millisecond
 
@@ -209,6 +211,7 @@
 	udp                        *net.UDPConn
 }
 
+// listen opens all sockets of the node.
 func (n *Node) listen() (*listeners, error) {
 	var lns listeners
 	for _, l := range []struct {
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -192,6 +192,7 @@
 	return nil
 }
 
+// validAddr reports whether a is an IP address with a port.
 func validAddr(a string) bool {
 	host, port, err := net.SplitHostPort(a)
 	return err == nil && net.ParseIP(host) != nil && port != ""
--- a/internal/node/partition_test.go
+++ b/internal/node/partition_test.go
@@ -23,6 +23,8 @@
 	cuts  map[string]bool   // "from>to"
 }
 
+// newNetwork puts the connections of running nodes under the control of a network
+// without partitions.
 func newNetwork(nodes ...*testNode) *network {
 	nw := &network{owner: map[string]string{}, cuts: map[string]bool{}}
 	for _, n := range nodes {
@@ -49,24 +51,28 @@
 	return nw
 }
 
+// isCut reports whether what a node sends to an address is lost.
 func (nw *network) isCut(from, addr string) bool {
 	nw.mu.Lock()
 	defer nw.mu.Unlock()
 	return nw.cuts[from+">"+nw.owner[addr]]
 }
 
+// isReverseCut reports whether what the node at an address sends to another is lost.
 func (nw *network) isReverseCut(from, addr string) bool {
 	nw.mu.Lock()
 	defer nw.mu.Unlock()
 	return nw.cuts[nw.owner[addr]+">"+from]
 }
 
+// setCut begins or ends a one-way partition.
 func (nw *network) setCut(from, to *testNode, on bool) {
 	nw.mu.Lock()
 	defer nw.mu.Unlock()
 	nw.cuts[from.id+">"+to.id] = on
 }
 
+// setCutBothWays begins or ends a partition in both directions.
 func (nw *network) setCutBothWays(a, b *testNode, on bool) {
 	nw.setCut(a, b, on)
 	nw.setCut(b, a, on)
@@ -81,6 +87,7 @@
 	lost       bool
 }
 
+// isLost reports whether the connection has been hit by a partition, now or before.
 func (c *cutConn) isLost(cut bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -23,11 +23,15 @@
 const (
 	// configGroup is the group that holds the operators' settings. The groups after
 	// it are the shards of the idempotency keys.
-	configGroup   = 0
-	identityFile  = "identity"
+	configGroup = 0
+	// identityFile is the file in the data folder that holds the replica's identity.
+	identityFile = "identity"
+	// damagedPrefix begins the names of folders that hold damaged data.
 	damagedPrefix = "lost-"
+	// sendQueueSize is how many messages are queued for one node.
 	sendQueueSize = 1024
-	stepTimeout   = time.Second
+	// stepTimeout bounds one RPC to another replica.
+	stepTimeout = time.Second
 )
 
 // replicas holds this node's replicas of all groups. A node without a data folder
@@ -122,6 +126,7 @@
 	return nil
 }
 
+// wrapLog applies the test hook Options.wrapLog, if it is set.
 func (r *replicas) wrapLog(log replicaLog) replicaLog {
 	if r.node.opt.wrapLog == nil {
 		return log
@@ -158,7 +163,7 @@
 // verifyLoop checks the identities of the replicas known from gossip while this
 // node leads a group, because gossip may still name an identity that was lost with
 // its disk. While a membership change is due it also asks the bootstrap addresses
-// and the members' addresses, where a replica may run that gossip does not know.
+// and the voters' addresses, where a replica may run that gossip does not know.
 func (r *replicas) verifyLoop() {
 	rounds := 0
 	r.node.runEvery(urgentVerifyInterval, func(time.Time) {
@@ -194,7 +199,7 @@
 }
 
 // identifyReplicas asks the bootstrap addresses and the addresses of the groups'
-// members for replicas, and returns those that are not known yet.
+// voters for replicas, and returns those that are not known yet.
 func (r *replicas) identifyReplicas(known []raft.Peer) []raft.Peer {
 	asked := map[string]bool{r.node.opt.AdvertiseControl: true}
 	addrs := slices.Clone(r.node.bootstrap())
--- a/internal/node/replica_test.go
+++ b/internal/node/replica_test.go
@@ -88,6 +88,8 @@
 		Should(gomega.BeNumerically(">=", v))
 }
 
+// Of concurrent changes on the same base exactly one may succeed; the others must
+// report the conflict and its winner.
 func TestConcurrentChangesHaveOneWinner(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := startReplicas(t, "a", "b", "c")
@@ -129,6 +131,7 @@
 	}
 }
 
+// Concurrent requests with the same idempotency key must run once in total.
 func TestKeyedRequestRunsOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := startReplicas(t, "a", "b", "c")
