--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -36,10 +36,10 @@
 	State string `json:"state"`
 	// Instance is the backend server's identity, empty if it has none.
 	Instance string `json:"instance,omitempty"`
-	// Born is the start time of this incarnation of the backend server, in Unix
+	// StartedAtMs is the start time of this incarnation of the backend server, in Unix
 	// milliseconds on its own clock; 0 if unknown. A later incarnation under the same
 	// identity has none of the state of the earlier one.
-	Born int64 `json:"born,omitempty"`
+	StartedAtMs int64 `json:"born,omitempty"`
 	// Sequence increases with each announcement of one incarnation.
 	Sequence uint64 `json:"sequence,omitempty"`
 }
@@ -94,8 +94,8 @@
 	if a.Weight == 0 {
 		a.Weight = 1
 	}
-	if a.Born < 0 {
-		return fault.Newf(fault.BadRequest, "born = %d; allowed are milliseconds of the Unix time", a.Born)
+	if a.StartedAtMs < 0 {
+		return fault.Newf(fault.BadRequest, "born = %d; allowed are milliseconds of the Unix time", a.StartedAtMs)
 	}
 	n.applyAnnouncement(a, state)
 	return nil
@@ -126,7 +126,7 @@
 	}
 	next := &local{
 		service: a.Service, slots: a.Slots, weight: a.Weight, life: chart.Start,
-		instance: a.Instance, born: a.Born, sequence: a.Sequence,
+		instance: a.Instance, born: a.StartedAtMs, sequence: a.Sequence,
 		expires: time.Now().Add(n.opt.Lease.Duration),
 	}
 	if old != nil {
@@ -159,7 +159,7 @@
 // later incarnation of the same one. If the start time of the known incarnation is
 // unknown, the announcement counts as of the same one.
 func (be *local) isOtherIncarnation(a *Announcement) bool {
-	return be.instance != a.Instance || be.born > 0 && a.Born > be.born
+	return be.instance != a.Instance || be.born > 0 && a.StartedAtMs > be.born
 }
 
 // closeEarlierIncarnation closes the connections of an earlier incarnation. If the new
@@ -184,13 +184,13 @@
 	if a.Instance == "" {
 		return false
 	}
-	if r, ok := n.retiredIncarnations[a.Instance]; ok && a.Born <= r.born && time.Since(r.at) < retiredIncarnationTTL {
+	if r, ok := n.retiredIncarnations[a.Instance]; ok && a.StartedAtMs <= r.born && time.Since(r.at) < retiredIncarnationTTL {
 		return true
 	}
-	if old == nil || old.instance != a.Instance || a.Born > old.born {
+	if old == nil || old.instance != a.Instance || a.StartedAtMs > old.born {
 		return false
 	}
-	return a.Born < old.born || a.Sequence <= old.sequence
+	return a.StartedAtMs < old.born || a.Sequence <= old.sequence
 }
 
 // retiredIncarnation is the latest incarnation of a backend server that is known to
