--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -184,7 +184,7 @@
 	if a.Instance == "" {
 		return false
 	}
-	if r, ok := n.retiredIncarnations[a.Instance]; ok && a.StartedAtMs <= r.born && time.Since(r.at) < retiredIncarnationTTL {
+	if r, ok := n.retiredIncarnations[a.Instance]; ok && a.StartedAtMs <= r.startedAtMs && time.Since(r.recordedAt) < retiredIncarnationTTL {
 		return true
 	}
 	if old == nil || old.instance != a.Instance || a.StartedAtMs > old.born {
@@ -196,8 +196,8 @@
 // retiredIncarnation is the latest incarnation of a backend server that is known to
 // have ended: its start time in Unix milliseconds and when the end was recorded.
 type retiredIncarnation struct {
-	born int64
-	at   time.Time
+	startedAtMs int64
+	recordedAt  time.Time
 }
 
 const (
@@ -212,7 +212,7 @@
 // retireIncarnation records that an incarnation of an identity and all earlier ones
 // have ended. If its start time is unknown, all that started until now count as ended;
 // a backend server and its node share a clock. localMu must be held.
-func (n *Node) retireIncarnation(instance string, born int64) {
+func (n *Node) retireIncarnation(instance string, startedAtMs int64) {
 	if instance == "" {
 		return
 	}
@@ -220,25 +220,25 @@
 		clear(n.retiredIncarnations)
 	}
 	now := time.Now()
-	if born == 0 {
-		born = now.UnixMilli()
+	if startedAtMs == 0 {
+		startedAtMs = now.UnixMilli()
 	}
-	n.retiredIncarnations[instance] = retiredIncarnation{born, now}
+	n.retiredIncarnations[instance] = retiredIncarnation{startedAtMs, now}
 }
 
 // WithdrawBackend removes an incarnation of a backend server for good; its requests in
-// flight go on. born is its start time in Unix milliseconds, or 0 for the known one.
-func (n *Node) WithdrawBackend(instance string, born int64) {
+// flight go on. startedAtMs is its start time in Unix milliseconds, or 0 for the known one.
+func (n *Node) WithdrawBackend(instance string, startedAtMs int64) {
 	n.localMu.Lock()
 	be := n.local.Load()
 	known := be != nil && be.instance == instance
-	outdated := known && born > 0 && born < be.born
+	outdated := known && startedAtMs > 0 && startedAtMs < be.born
 	switch {
 	case outdated:
 	case known:
 		n.retireIncarnation(instance, be.born)
 	default:
-		n.retireIncarnation(instance, born)
+		n.retireIncarnation(instance, startedAtMs)
 	}
 	n.localMu.Unlock()
 	if known && !outdated {
--- a/internal/node/restart_test.go
+++ b/internal/node/restart_test.go
@@ -12,8 +12,8 @@
 )
 
 // newAnnouncement returns an announcement of the backend server x that is serving.
-func newAnnouncement(addr string, born int64, sequence uint64) *Announcement {
-	return &Announcement{Service: "f/s", Address: addr, Slots: 8, Connections: 32, State: "serving", Instance: "x", StartedAtMs: born, Sequence: sequence}
+func newAnnouncement(addr string, startedAtMs int64, sequence uint64) *Announcement {
+	return &Announcement{Service: "f/s", Address: addr, Slots: 8, Connections: 32, State: "serving", Instance: "x", StartedAtMs: startedAtMs, Sequence: sequence}
 }
 
 // unresponsiveServer starts a server that accepts connections and never answers, and
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -46,8 +46,8 @@
 // instanceState is what this node tracks about one incarnation of an instance's
 // backend server.
 type instanceState struct {
-	// start is the number of the incarnation.
-	start uint32
+	// incarnation is the number of the incarnation among those beside its node.
+	incarnation uint32
 	// since is when the incarnation was first seen, on this node's clock.
 	since    time.Duration
 	observed *route.Observed
@@ -235,16 +235,16 @@
 // stateOf returns the state of an instance. A later incarnation of its backend server
 // gets new state, since it is cold and has none of the requests and failures of the
 // previous one. Delayed reports of an earlier incarnation are ignored.
-func (b *viewBuilder) stateOf(id string, start uint32) *instanceState {
+func (b *viewBuilder) stateOf(id string, incarnation uint32) *instanceState {
 	k := b.instances[id]
-	if k != nil && start <= k.start {
+	if k != nil && incarnation <= k.incarnation {
 		return k
 	}
 	since := b.node.clock()
 	if k == nil && since < newInstanceAge {
 		since = establishedSince
 	}
-	k = &instanceState{start: start, since: since, observed: &route.Observed{}}
+	k = &instanceState{incarnation: incarnation, since: since, observed: &route.Observed{}}
 	b.instances[id] = k
 	return k
 }
