--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -15,7 +15,7 @@
 // model holds what a guard must keep to.
 type model struct {
 	t       *rapid.T
-	g       *Guard
+	g       *Limiter
 	now     time.Duration
 	slots   int
 	running int
@@ -174,7 +174,7 @@
 
 // server is a fake backend server under an open load.
 type server struct {
-	g       *Guard
+	g       *Limiter
 	rng     *rand.Rand
 	service time.Duration
 	now     time.Duration
--- a/admission/guard.go
+++ b/admission/guard.go
@@ -108,7 +108,7 @@
 // Guard is the admission state of one backend server. It is not safe for
 // concurrent use: the shell holds one lock around each call, which takes
 // well under a microsecond.
-type Guard struct {
+type Limiter struct {
 	opt      Options
 	limit    float64
 	inflight int
@@ -122,15 +122,15 @@
 }
 
 // New returns a guard with all slots free.
-func New(o Options) *Guard {
-	g := &Guard{}
+func New(o Options) *Limiter {
+	g := &Limiter{}
 	g.SetOptions(o)
 	g.limit = float64(g.opt.Slots)
 	return g
 }
 
 // SetOptions takes over new settings; requests in flight are kept.
-func (g *Guard) SetOptions(o Options) {
+func (g *Limiter) SetOptions(o Options) {
 	o.Slots = max(o.Slots, 1)
 	o.Window = max(o.Window, time.Millisecond)
 	grown := o.Slots > g.opt.Slots
@@ -141,20 +141,20 @@
 }
 
 // Level returns the admission level in force.
-func (g *Guard) Level() rank.Level { return g.ctl.level }
+func (g *Limiter) Level() rank.Level { return g.ctl.level }
 
 // Limit returns the concurrency limit in force.
-func (g *Guard) Limit() int { return int(g.limit) }
+func (g *Limiter) Limit() int { return int(g.limit) }
 
 // InFlight returns the number of slots taken.
-func (g *Guard) InFlight() int { return g.inflight }
+func (g *Limiter) InFlight() int { return g.inflight }
 
 // Queued returns the number of waiting requests.
-func (g *Guard) Queued() int { return len(g.queue) }
+func (g *Limiter) Queued() int { return len(g.queue) }
 
 // Arrive decides over a request. If the verdict is Wait, the guard keeps w
 // until it comes back from Done or Expire, or as Evicted.
-func (g *Guard) Arrive(now time.Duration, w *Waiter) Decision {
+func (g *Limiter) Arrive(now time.Duration, w *Waiter) Decision {
 	g.Tick(now)
 	r := w.Request
 	if g.opt.Mode == ModeOff {
@@ -181,7 +181,7 @@
 	return g.enqueue(now, w)
 }
 
-func (g *Guard) enqueue(now time.Duration, w *Waiter) Decision {
+func (g *Limiter) enqueue(now time.Duration, w *Waiter) Decision {
 	var evicted *Waiter
 	if len(g.queue) >= g.opt.QueueMax {
 		g.ctl.overflow()
@@ -200,7 +200,7 @@
 // Expire takes a waiter out of the queue because its time is over or its
 // caller left. It reports false if the waiter has already been admitted or
 // evicted, in which case that verdict stands.
-func (g *Guard) Expire(now time.Duration, w *Waiter) bool {
+func (g *Limiter) Expire(now time.Duration, w *Waiter) bool {
 	if !g.queue.holds(w) {
 		return false
 	}
@@ -226,7 +226,7 @@
 // Done frees the slot of a request and returns the waiter that takes it, or
 // nil. Waiters that can no longer finish in time are appended to late; they
 // must be refused with fault.Deadline.
-func (g *Guard) Done(now time.Duration, o Outcome, late []*Waiter) (*Waiter, []*Waiter) {
+func (g *Limiter) Done(now time.Duration, o Outcome, late []*Waiter) (*Waiter, []*Waiter) {
 	g.ctl.account(now, g.inflight, g.limit)
 	full := g.inflight >= int(g.limit) && len(g.queue) > 0
 	g.inflight--
@@ -244,7 +244,7 @@
 
 // timed takes in a request that ran while all slots were taken, and follows the
 // search to the next limit at once.
-func (g *Guard) timed(now time.Duration, o Outcome) {
+func (g *Limiter) timed(now time.Duration, o Outcome) {
 	before := g.search.ceiling(g.opt.Slots)
 	g.search.finish(now, o.Kind, o.Took, g.opt.Slots)
 	if after := g.search.ceiling(g.opt.Slots); g.limit >= before || g.limit > after {
@@ -253,7 +253,7 @@
 }
 
 // next admits the best waiter that can still finish, if a slot is free.
-func (g *Guard) next(now time.Duration, late []*Waiter) (*Waiter, []*Waiter) {
+func (g *Limiter) next(now time.Duration, late []*Waiter) (*Waiter, []*Waiter) {
 	for g.inflight < int(g.limit) && len(g.queue) > 0 {
 		w := g.queue.pop()
 		g.ctl.waited(now - w.since)
@@ -269,13 +269,13 @@
 
 // Next admits one more waiter after the limit has grown; the shell calls it
 // until it returns nil.
-func (g *Guard) Next(now time.Duration, late []*Waiter) (*Waiter, []*Waiter) {
+func (g *Limiter) Next(now time.Duration, late []*Waiter) (*Waiter, []*Waiter) {
 	return g.next(now, late)
 }
 
 // learn takes in how long a request took. One that was given up tells only
 // that its kind may need longer.
-func (g *Guard) learn(o Outcome) {
+func (g *Limiter) learn(o Outcome) {
 	if o.Took <= 0 {
 		return
 	}
@@ -306,19 +306,19 @@
 )
 
 // target is the mean wait above which the level rises.
-func (g *Guard) target() time.Duration {
+func (g *Limiter) target() time.Duration {
 	return max(g.opt.QueueTarget, time.Duration(targetFactor*float64(g.service)))
 }
 
 // maxWait is the longest that a request may wait.
-func (g *Guard) maxWait() time.Duration {
+func (g *Limiter) maxWait() time.Duration {
 	if g.opt.Mode != ModeFull || g.service == 0 {
 		return g.opt.QueueWait
 	}
 	return min(g.opt.QueueWait, max(minMaxWait, waitFactor*g.service))
 }
 
-func (g *Guard) take(now time.Duration) {
+func (g *Limiter) take(now time.Duration) {
 	g.ctl.account(now, g.inflight, g.limit)
 	g.inflight++
 }
@@ -326,7 +326,7 @@
 // need is the time that a request must have left to be worth running: a low
 // quantile of the service time of its kind, below which it will almost surely
 // not finish, or, where others wait for the slot, a high one.
-func (g *Guard) need(r Request) time.Duration {
+func (g *Limiter) need(r Request) time.Duration {
 	if g.opt.Mode != ModeFull {
 		return 0
 	}
@@ -339,7 +339,7 @@
 
 // Tick closes the control window if it has passed. The guard calls it on
 // every event; the shell calls it when there is no traffic.
-func (g *Guard) Tick(now time.Duration) {
+func (g *Limiter) Tick(now time.Duration) {
 	if g.opt.Mode != ModeFull || !g.ctl.due(now, g.opt.Window) {
 		return
 	}
@@ -365,7 +365,7 @@
 // adjustLimit moves the concurrency limit: down when the backend server says
 // that it is overloaded, up by one slot a window until what the search has
 // found, at most the declared slots.
-func (g *Guard) adjustLimit() {
+func (g *Limiter) adjustLimit() {
 	slots := float64(g.opt.Slots)
 	if g.ctl.pushback {
 		g.search.interrupt()
--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -21,7 +21,7 @@
 	boot   int
 	down   bool
 	server *server
-	guard  *admission.Guard
+	guard  *admission.Limiter
 	// waiting are the works that the guard keeps.
 	waiting map[*admission.Waiter]*work
 	routes  *route.Snapshot
--- a/internal/node/gate.go
+++ b/internal/node/gate.go
@@ -17,7 +17,7 @@
 	clock func() time.Duration
 
 	mu    sync.Mutex
-	guard *admission.Guard
+	guard *admission.Limiter
 	late  []*admission.Waiter
 }
 
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -97,7 +97,7 @@
 
 // deepServer is a backend server of the deepest service with its guard.
 type deepServer struct {
-	guard *admission.Guard
+	guard *admission.Limiter
 	speed float64
 	gone  bool
 	done  map[*admission.Waiter]func(fault.Code)
