--- a/admission/waits.go
+++ b/admission/waits.go
@@ -15,11 +15,11 @@
 // need it. The bound holds less for the more urgent: a chain of theirs that is refused
 // in its midst for the sake of slots that less urgent ones wait in is lost with all the
 // work that was done for it.
-type Waits struct{ held atomic.Int32 }
+type Bulkhead struct{ held atomic.Int32 }
 
 // Take counts one more wait if the bound allows it. Share is the part of the slots that
 // requests of the lowest class may wait in; the highest class may wait in all.
-func (w *Waits) Take(slots int, share float64, r rank.Rank) bool {
+func (w *Bulkhead) Take(slots int, share float64, r rank.Rank) bool {
 	if int(w.held.Add(1)) <= waitsMax(slots, share, r.Class()) {
 		return true
 	}
@@ -28,10 +28,10 @@
 }
 
 // Hold counts a wait without a bound.
-func (w *Waits) Hold() { w.held.Add(1) }
+func (w *Bulkhead) Hold() { w.held.Add(1) }
 
 // Release ends a wait.
-func (w *Waits) Release() { w.held.Add(-1) }
+func (w *Bulkhead) Release() { w.held.Add(-1) }
 
 // waitsMax is how many waits there may be for one more of a class.
 func waitsMax(slots int, share float64, class rank.Class) int {
--- a/admission/waits_test.go
+++ b/admission/waits_test.go
@@ -14,7 +14,7 @@
 func TestWaitsLeaveRoomForTheUrgent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const slots, share = 100, 0.8
-	var w Waits
+	var w Bulkhead
 	take := func(class rank.Class) int {
 		n := 0
 		for w.Take(slots, share, rank.Make(class, 0)) {
@@ -37,7 +37,7 @@
 // One wait is always allowed: a server with a single slot makes calls as well.
 func TestWaitsOfASingleSlot(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var w Waits
+	var w Bulkhead
 	g.Expect(w.Take(1, 0.8, rank.Make(rank.Background, 0))).To(gomega.BeTrue())
 	g.Expect(w.Take(1, 0.8, rank.Make(rank.Background, 0))).To(gomega.BeFalse())
 }
--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -30,7 +30,7 @@
 	entered, nested *pathlevel.Table
 	retries         map[string]*budget.Share
 	// waits counts, for each service, the calls to it that the server waits for.
-	waits map[string]*admission.Waits
+	waits map[string]*admission.Bulkhead
 	// callers are the requests that entered here, with what tells their callers that
 	// the node is gone.
 	callers map[*call]func()
@@ -54,7 +54,7 @@
 	mayHaveRun bool
 	ended      bool
 	// waits is what it counts against while its server waits for it, or nil.
-	waits *admission.Waits
+	waits *admission.Bulkhead
 	// cancel ends the attempt under way.
 	cancel func()
 	done   func(answer)
@@ -113,7 +113,7 @@
 func (n *node) hold(c *call) bool {
 	w := n.waits[c.kind.Service]
 	if w == nil {
-		w = &admission.Waits{}
+		w = &admission.Bulkhead{}
 		n.waits[c.kind.Service] = w
 	}
 	if !w.Take(n.server.spec.Slots, n.p.fleet.Policy.ShareMax, c.rank) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -468,12 +468,12 @@
 
 // takeWait counts a nested call against the share of this node's slots that may wait
 // on one called service.
-func (n *Node) takeWait(c *call) (*admission.Waits, bool) {
+func (n *Node) takeWait(c *call) (*admission.Bulkhead, bool) {
 	v, ok := n.waits.Load(c.service)
 	if !ok {
-		v, _ = n.waits.LoadOrStore(c.service, &admission.Waits{})
+		v, _ = n.waits.LoadOrStore(c.service, &admission.Bulkhead{})
 	}
-	w := v.(*admission.Waits)
+	w := v.(*admission.Bulkhead)
 	be := n.local.Load()
 	if be == nil {
 		w.Hold()
