--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -70,7 +70,7 @@
 
 func BenchmarkRequest(b *testing.B) {
 	var p Pool
-	var s Share
+	var s Throttle
 	now := time.Duration(0)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/budget/share.go
+++ b/budget/share.go
@@ -40,7 +40,7 @@
 //
 // First attempts are counted without a lock. Only an attempt that failed takes
 // the lock.
-type Share struct {
+type Throttle struct {
 	counts [kept]slice
 
 	mu     sync.Mutex
@@ -58,14 +58,14 @@
 
 // First counts a first attempt. It makes no use of a clock of its own: now is
 // the time since any fixed moment.
-func (s *Share) First(now time.Duration, l Limits) { s.slice(now, l).first.Add(1) }
+func (s *Throttle) First(now time.Duration, l Limits) { s.slice(now, l).first.Add(1) }
 
 // Repeat counts an attempt that is made in any case and counts as a retry, as
 // it belongs to a run that was itself a repeat.
-func (s *Share) Repeat(now time.Duration, l Limits) { s.slice(now, l).repeats.Add(1) }
+func (s *Throttle) Repeat(now time.Duration, l Limits) { s.slice(now, l).repeats.Add(1) }
 
 // Spend decides over a retry of a request and counts it if it is granted.
-func (s *Share) Spend(now time.Duration, r rank.Rank, l Limits) bool {
+func (s *Throttle) Spend(now time.Duration, r rank.Rank, l Limits) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all, left := s.allowed(now, l)
@@ -85,7 +85,7 @@
 
 // slice returns the counts of the time now. A slice that is reused is emptied
 // by whoever comes first; a count that races with it is lost.
-func (s *Share) slice(now time.Duration, l Limits) *slice {
+func (s *Throttle) slice(now time.Duration, l Limits) *slice {
 	epoch := epochOf(now, l)
 	c := &s.counts[epoch%kept]
 	if old := c.epoch.Load(); old != epoch && c.epoch.CompareAndSwap(old, epoch) {
@@ -98,7 +98,7 @@
 // allowed returns how many retries a window may have, and how many of them are
 // left. The first attempts that pay are those of the window until now, the one
 // half a window earlier or the one before it, whichever has most.
-func (s *Share) allowed(now time.Duration, l Limits) (all, left float64) {
+func (s *Throttle) allowed(now time.Duration, l Limits) (all, left float64) {
 	epoch := epochOf(now, l)
 	var paid [3]int64
 	var repeats int64
@@ -138,7 +138,7 @@
 
 // adjust moves the level once a tick, to where the retries wanted above it are
 // what may be spent while they are remembered.
-func (s *Share) adjust(now time.Duration, all, left float64, l Limits) {
+func (s *Throttle) adjust(now time.Duration, all, left float64, l Limits) {
 	tick := int64(now / max(1, l.Window/ticks))
 	if tick == s.closed {
 		return
@@ -156,7 +156,7 @@
 }
 
 // fade forgets what was wanted over a number of ticks.
-func (s *Share) fade(n int64) {
+func (s *Throttle) fade(n int64) {
 	if n <= 0 {
 		return
 	}
@@ -168,7 +168,7 @@
 
 // levelFor returns the lowest level above which no more is wanted than supply,
 // but not far below the last one.
-func (s *Share) levelFor(supply float64) rank.Level {
+func (s *Throttle) levelFor(supply float64) rank.Level {
 	sum := 0.0
 	r := rank.Count
 	for r > 0 && sum+float64(s.wanted[r-1]) <= supply {
--- a/budget/share_test.go
+++ b/budget/share_test.go
@@ -22,7 +22,7 @@
 // two windows, each counted to a slice.
 func TestShareBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var s Share
+		var s Throttle
 		var firsts, retries []time.Duration
 		now := time.Duration(0)
 		count := func(ts []time.Duration, from, to time.Duration) (n int) {
@@ -60,7 +60,7 @@
 
 func TestWindowBeforePaysForRetries(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var s Share
+	var s Throttle
 	for i := range 1000 {
 		s.First(time.Duration(i)*10*time.Millisecond, limits)
 	}
@@ -75,7 +75,7 @@
 
 func TestShareLeavesRetriesToTheMoreUrgent(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var s Share
+	var s Throttle
 	granted := map[rank.Class]int{}
 	asked := map[rank.Class]int{}
 	rng := rand.New(rand.NewPCG(3, 4))
@@ -101,7 +101,7 @@
 
 func TestFewFailuresAreRetriedWhateverTheirRank(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var s Share
+	var s Throttle
 	for i := range 500 {
 		now := time.Duration(i) * 20 * time.Millisecond
 		s.First(now, limits)
@@ -113,7 +113,7 @@
 
 func TestRepeatedCallsAreCharged(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var s Share
+	var s Throttle
 	for range 100 {
 		s.First(time.Second, limits)
 	}
@@ -129,7 +129,7 @@
 	rank  rank.Rank
 	left  int
 	pool  int
-	share *Share
+	share *Throttle
 }
 
 // shedding replays a service all of whose backend servers turn away a share of
@@ -141,7 +141,7 @@
 	pool int
 	// even makes all requests rank alike.
 	even     bool
-	shares   [4]Share
+	shares   [4]Throttle
 	pending  map[int][]*chained
 	from, to int
 	arrivals map[int]int // second -> attempts beyond the first
--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -28,7 +28,7 @@
 	// entered and nested are the path levels of requests that enter here and of
 	// calls of the server beside the node.
 	entered, nested *pathlevel.Table
-	retries         map[string]*budget.Share
+	retries         map[string]*budget.Throttle
 	// waits counts, for each service, the calls to it that the server waits for.
 	waits map[string]*admission.Bulkhead
 	// callers are the requests that entered here, with what tells their callers that
@@ -123,10 +123,10 @@
 	return true
 }
 
-func (n *node) share(service string) *budget.Share {
+func (n *node) share(service string) *budget.Throttle {
 	s := n.retries[service]
 	if s == nil {
-		s = &budget.Share{}
+		s = &budget.Throttle{}
 		n.retries[service] = s
 	}
 	return s
--- a/internal/fleetmodel/play.go
+++ b/internal/fleetmodel/play.go
@@ -99,7 +99,7 @@
 	})
 	n.server.busy = 0
 	n.waiting = map[*admission.Waiter]*work{}
-	n.retries = map[string]*budget.Share{}
+	n.retries = map[string]*budget.Throttle{}
 	n.waits = map[string]*admission.Bulkhead{}
 	n.callers = map[*call]func(){}
 	n.entered, n.nested = &pathlevel.Table{}, &pathlevel.Table{}
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -174,7 +174,7 @@
 const baselineRetries = 3
 
 // mayRetry decides whether a failed call is sent once more, and pays for it.
-func (n *Node) mayRetry(c *call, in *route.Instance, e *fault.Error, retries *budget.Share) bool {
+func (n *Node) mayRetry(c *call, in *route.Instance, e *fault.Error, retries *budget.Throttle) bool {
 	if c.scope.Err() != fault.None {
 		return false
 	}
@@ -197,7 +197,7 @@
 }
 
 // payRetry takes a retry from the call's pool and from the share of its service.
-func (n *Node) payRetry(c *call, retries *budget.Share) bool {
+func (n *Node) payRetry(c *call, retries *budget.Throttle) bool {
 	if !c.pool.Spend() {
 		return false
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -458,12 +458,12 @@
 }
 
 // retries returns the share of retries of a service.
-func (n *Node) retries(service string) *budget.Share {
+func (n *Node) retries(service string) *budget.Throttle {
 	if v, ok := n.retryShares.Load(service); ok {
-		return v.(*budget.Share)
+		return v.(*budget.Throttle)
 	}
-	v, _ := n.retryShares.LoadOrStore(service, &budget.Share{})
-	return v.(*budget.Share)
+	v, _ := n.retryShares.LoadOrStore(service, &budget.Throttle{})
+	return v.(*budget.Throttle)
 }
 
 // takeWait counts a nested call against the share of this node's slots that may wait
