--- a/admission/waits.go
+++ b/admission/waits.go
@@ -19,7 +19,7 @@
 
 // Take counts one more wait if the bound allows it. Share is the part of the slots that
 // requests of the lowest class may wait in; the highest class may wait in all.
-func (w *Bulkhead) Take(slots int, share float64, r rank.Rank) bool {
+func (w *Bulkhead) TryAcquire(slots int, share float64, r rank.Rank) bool {
 	if int(w.held.Add(1)) <= waitsMax(slots, share, r.Class()) {
 		return true
 	}
--- a/admission/waits_test.go
+++ b/admission/waits_test.go
@@ -17,17 +17,17 @@
 	var w Bulkhead
 	take := func(class rank.Class) int {
 		n := 0
-		for w.Take(slots, share, rank.Make(class, 0)) {
+		for w.TryAcquire(slots, share, rank.Make(class, 0)) {
 			n++
 		}
 		return n
 	}
 	low := take(rank.Background)
 	g.Expect(low).To(gomega.BeNumerically("<=", share*slots))
-	g.Expect(w.Take(slots, share, rank.Make(rank.Background, 255))).To(gomega.BeFalse())
+	g.Expect(w.TryAcquire(slots, share, rank.Make(rank.Background, 255))).To(gomega.BeFalse())
 	g.Expect(take(rank.Important)).To(gomega.BeNumerically(">", 0))
 	g.Expect(take(rank.Protected)).To(gomega.BeNumerically(">", 0))
-	g.Expect(w.Take(slots, share, rank.Make(rank.Protected, 255))).To(gomega.BeFalse(), "all slots wait")
+	g.Expect(w.TryAcquire(slots, share, rank.Make(rank.Protected, 255))).To(gomega.BeFalse(), "all slots wait")
 	for range slots {
 		w.Release()
 	}
@@ -38,6 +38,6 @@
 func TestWaitsOfASingleSlot(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var w Bulkhead
-	g.Expect(w.Take(1, 0.8, rank.Make(rank.Background, 0))).To(gomega.BeTrue())
-	g.Expect(w.Take(1, 0.8, rank.Make(rank.Background, 0))).To(gomega.BeFalse())
+	g.Expect(w.TryAcquire(1, 0.8, rank.Make(rank.Background, 0))).To(gomega.BeTrue())
+	g.Expect(w.TryAcquire(1, 0.8, rank.Make(rank.Background, 0))).To(gomega.BeFalse())
 }
--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -116,7 +116,7 @@
 		w = &admission.Bulkhead{}
 		n.waits[c.kind.Service] = w
 	}
-	if !w.Take(n.server.spec.Slots, n.p.fleet.Policy.ShareMax, c.rank) {
+	if !w.TryAcquire(n.server.spec.Slots, n.p.fleet.Policy.ShareMax, c.rank) {
 		return false
 	}
 	c.waits = w
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -479,7 +479,7 @@
 		w.Hold()
 		return w, true
 	}
-	return w, w.Take(be.slots, c.policy.ShareMax, c.rank)
+	return w, w.TryAcquire(be.slots, c.policy.ShareMax, c.rank)
 }
 
 // noteFailure tells about an instance that this node could not reach.
