--- a/admission/waits.go
+++ b/admission/waits.go
@@ -28,7 +28,7 @@
 }
 
 // Hold counts a wait without a bound.
-func (w *Bulkhead) Hold() { w.held.Add(1) }
+func (w *Bulkhead) ForceAcquire() { w.held.Add(1) }
 
 // Release ends a wait.
 func (w *Bulkhead) Release() { w.held.Add(-1) }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -476,7 +476,7 @@
 	w := v.(*admission.Bulkhead)
 	be := n.local.Load()
 	if be == nil {
-		w.Hold()
+		w.ForceAcquire()
 		return w, true
 	}
 	return w, w.TryAcquire(be.slots, c.policy.ShareMax, c.rank)
