--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -157,7 +157,7 @@
 	for range rapid.IntRange(10, 200).Draw(t, "steps") {
 		m.now += time.Duration(rapid.IntRange(0, 20).Draw(t, "pause")) * time.Millisecond
 		for w := range m.waiting {
-			if w.GiveUp() <= m.now && m.g.Expire(m.now, w) {
+			if w.GiveUp() <= m.now && m.g.RemoveWaiter(m.now, w) {
 				delete(m.waiting, w)
 				m.refused[w] = true
 			}
@@ -214,7 +214,7 @@
 		}
 	}
 	for w := range s.waiting {
-		if w.GiveUp() <= s.now && s.g.Expire(s.now, w) {
+		if w.GiveUp() <= s.now && s.g.RemoveWaiter(s.now, w) {
 			delete(s.waiting, w)
 		}
 	}
--- a/admission/guard.go
+++ b/admission/guard.go
@@ -200,7 +200,7 @@
 // Expire takes a waiter out of the queue because its time is over or its
 // caller left. It reports false if the waiter has already been admitted or
 // evicted, in which case that verdict stands.
-func (g *Limiter) Expire(now time.Duration, w *Waiter) bool {
+func (g *Limiter) RemoveWaiter(now time.Duration, w *Waiter) bool {
 	if !g.queue.holds(w) {
 		return false
 	}
--- a/internal/fleetmodel/work.go
+++ b/internal/fleetmodel/work.go
@@ -59,7 +59,7 @@
 
 // giveUp ends a wait.
 func (w *work) giveUp(code fault.Code) {
-	if w.ended || w.running || w.boot != w.n.boot || !w.n.guard.Expire(w.n.p.now, &w.waiter) {
+	if w.ended || w.running || w.boot != w.n.boot || !w.n.guard.RemoveWaiter(w.n.p.now, &w.waiter) {
 		return
 	}
 	delete(w.n.waiting, &w.waiter)
--- a/internal/node/gate.go
+++ b/internal/node/gate.go
@@ -83,7 +83,7 @@
 // slot it gave is handed back.
 func (g *gate) leaveQueue(w *admission.Waiter, code fault.Code) fault.Code {
 	g.mu.Lock()
-	left := g.guard.Expire(g.clock(), w)
+	left := g.guard.RemoveWaiter(g.clock(), w)
 	g.mu.Unlock()
 	if left {
 		waiterPool.Put(w)
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -229,7 +229,7 @@
 			m.end(s, w, d.Code)
 		case admission.Wait:
 			m.after(w.GiveUp()-m.now, func() {
-				if s.guard.Expire(m.now, w) {
+				if s.guard.RemoveWaiter(m.now, w) {
 					m.end(s, w, fault.QueueTimeout)
 				}
 			})
