--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -74,7 +74,7 @@
 	next, late := m.g.Done(m.now, Outcome{Took: took}, nil)
 	m.end(next, late)
 	for {
-		next, late = m.g.Next(m.now, nil)
+		next, late = m.g.AdmitNext(m.now, nil)
 		m.end(next, late)
 		if next == nil {
 			return
--- a/admission/guard.go
+++ b/admission/guard.go
@@ -269,7 +269,7 @@
 
 // Next admits one more waiter after the limit has grown; the shell calls it
 // until it returns nil.
-func (g *Limiter) Next(now time.Duration, late []*Waiter) (*Waiter, []*Waiter) {
+func (g *Limiter) AdmitNext(now time.Duration, late []*Waiter) (*Waiter, []*Waiter) {
 	return g.next(now, late)
 }
 
--- a/internal/fleetmodel/work.go
+++ b/internal/fleetmodel/work.go
@@ -154,7 +154,7 @@
 		if next != nil {
 			n.take(next).start()
 		}
-		next, late = n.guard.Next(p.now, nil)
+		next, late = n.guard.AdmitNext(p.now, nil)
 	}
 }
 
--- a/internal/node/gate.go
+++ b/internal/node/gate.go
@@ -127,7 +127,7 @@
 func (g *gate) wakeAll(now time.Duration) {
 	for {
 		var next *admission.Waiter
-		next, g.late = g.guard.Next(now, g.late[:0])
+		next, g.late = g.guard.AdmitNext(now, g.late[:0])
 		g.refuseLate()
 		if next == nil {
 			return
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -254,7 +254,7 @@
 				break
 			}
 			m.start(s, next)
-			next, late = s.guard.Next(m.now, nil)
+			next, late = s.guard.AdmitNext(m.now, nil)
 		}
 		m.end(s, w, fault.None)
 	})
