--- a/admission/guard.go
+++ b/admission/guard.go
@@ -226,7 +226,7 @@
 // Done frees the slot of a request and returns the waiter that takes it, or
 // nil. Waiters that can no longer finish in time are appended to late; they
 // must be refused with fault.Deadline.
-func (g *Limiter) Done(now time.Duration, o Outcome, late []*Waiter) (*Waiter, []*Waiter) {
+func (g *Limiter) Finish(now time.Duration, o Outcome, late []*Waiter) (*Waiter, []*Waiter) {
 	g.ctl.account(now, g.inflight, g.limit)
 	full := g.inflight >= int(g.limit) && len(g.queue) > 0
 	g.inflight--
--- a/internal/fleetmodel/work.go
+++ b/internal/fleetmodel/work.go
@@ -146,7 +146,7 @@
 	n, p := w.n, w.n.p
 	w.running = false
 	n.server.busy--
-	next, late := n.guard.Done(p.now, o, nil)
+	next, late := n.guard.Finish(p.now, o, nil)
 	for next != nil || len(late) > 0 {
 		for _, l := range late {
 			n.take(l).refuse(fault.Deadline)
--- a/internal/node/gate.go
+++ b/internal/node/gate.go
@@ -106,7 +106,7 @@
 	g.mu.Lock()
 	now := g.clock()
 	var next *admission.Waiter
-	next, g.late = g.guard.Done(now, o, g.late[:0])
+	next, g.late = g.guard.Finish(now, o, g.late[:0])
 	g.refuseLate()
 	if next != nil {
 		next.Wake <- fault.None
