--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -32,7 +32,7 @@
 	switch d.Verdict {
 	case Admit:
 		m.running++
-	case Wait:
+	case Enqueued:
 		m.waiting[w] = true
 	case Refuse:
 		m.refused[w] = true
@@ -233,7 +233,7 @@
 	switch d.Verdict {
 	case Admit:
 		s.start(w)
-	case Wait:
+	case Enqueued:
 		s.waiting[w] = true
 	}
 }
--- a/admission/guard.go
+++ b/admission/guard.go
@@ -91,7 +91,7 @@
 	// Admit means that the request takes a slot now.
 	Admit
 	// Wait means that the request was queued.
-	Wait
+	Enqueued
 )
 
 // Decision is a verdict and its reason.
@@ -194,7 +194,7 @@
 	w.since = now
 	w.giveUp = min(now+g.maxWait(), w.Request.Deadline-g.need(w.Request))
 	g.queue.push(w)
-	return Decision{Verdict: Wait, Evicted: evicted}
+	return Decision{Verdict: Enqueued, Evicted: evicted}
 }
 
 // Expire takes a waiter out of the queue because its time is over or its
--- a/internal/fleetmodel/work.go
+++ b/internal/fleetmodel/work.go
@@ -50,7 +50,7 @@
 		w.start()
 	case admission.Refuse:
 		w.refuse(d.Code)
-	case admission.Wait:
+	case admission.Enqueued:
 		n.waiting[&w.waiter] = w
 		p.after(w.waiter.GiveUp()-p.now, func() { w.giveUp(fault.QueueTimeout) })
 	}
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -227,7 +227,7 @@
 			m.start(s, w)
 		case admission.Refuse:
 			m.end(s, w, d.Code)
-		case admission.Wait:
+		case admission.Enqueued:
 			m.after(w.GiveUp()-m.now, func() {
 				if s.guard.RemoveWaiter(m.now, w) {
 					m.end(s, w, fault.QueueTimeout)
