--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -34,7 +34,7 @@
 		m.running++
 	case Enqueued:
 		m.waiting[w] = true
-	case Refuse:
+	case Refused:
 		m.refused[w] = true
 		m.checkRefusal(w, d.Code)
 	}
--- a/admission/guard.go
+++ b/admission/guard.go
@@ -87,7 +87,7 @@
 
 const (
 	// Refuse means that the request must be refused, not run.
-	Refuse Verdict = iota
+	Refused Verdict = iota
 	// Admit means that the request takes a slot now.
 	Admit
 	// Wait means that the request was queued.
--- a/internal/fleetmodel/work.go
+++ b/internal/fleetmodel/work.go
@@ -48,7 +48,7 @@
 	switch d.Verdict {
 	case admission.Admit:
 		w.start()
-	case admission.Refuse:
+	case admission.Refused:
 		w.refuse(d.Code)
 	case admission.Enqueued:
 		n.waiting[&w.waiter] = w
--- a/internal/node/gate.go
+++ b/internal/node/gate.go
@@ -53,7 +53,7 @@
 	case admission.Admit:
 		waiterPool.Put(w)
 		return fault.None
-	case admission.Refuse:
+	case admission.Refused:
 		waiterPool.Put(w)
 		return d.Code
 	}
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -225,7 +225,7 @@
 		switch d.Verdict {
 		case admission.Admit:
 			m.start(s, w)
-		case admission.Refuse:
+		case admission.Refused:
 			m.end(s, w, d.Code)
 		case admission.Enqueued:
 			m.after(w.GiveUp()-m.now, func() {
