--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -30,7 +30,7 @@
 	w := &Waiter{Request: Request{Rank: rank.Make(class, cohort), Deadline: m.now + deadline}}
 	d := m.g.Arrive(m.now, w)
 	switch d.Verdict {
-	case Admit:
+	case Admitted:
 		m.running++
 	case Enqueued:
 		m.waiting[w] = true
@@ -231,7 +231,7 @@
 	d := s.g.Arrive(s.now, w)
 	delete(s.waiting, d.Evicted)
 	switch d.Verdict {
-	case Admit:
+	case Admitted:
 		s.start(w)
 	case Enqueued:
 		s.waiting[w] = true
--- a/admission/guard.go
+++ b/admission/guard.go
@@ -89,7 +89,7 @@
 	// Refuse means that the request must be refused, not run.
 	Refused Verdict = iota
 	// Admit means that the request takes a slot now.
-	Admit
+	Admitted
 	// Wait means that the request was queued.
 	Enqueued
 )
@@ -159,7 +159,7 @@
 	r := w.Request
 	if g.opt.Mode == ModeOff {
 		g.inflight++
-		return Decision{Verdict: Admit}
+		return Decision{Verdict: Admitted}
 	}
 	if r.Deadline <= now {
 		return Decision{Code: fault.Deadline}
@@ -176,7 +176,7 @@
 	if g.inflight < int(g.limit) && len(g.queue) == 0 {
 		g.ctl.waited(0)
 		g.take(now)
-		return Decision{Verdict: Admit}
+		return Decision{Verdict: Admitted}
 	}
 	return g.enqueue(now, w)
 }
--- a/admission/pushback_test.go
+++ b/admission/pushback_test.go
@@ -19,7 +19,7 @@
 		now := time.Duration(i) * 10 * time.Millisecond
 		for g.InFlight() < min(taken, g.Limit()) {
 			d := g.Arrive(now, &Waiter{Request: Request{Rank: rank.Make(rank.Protected, 255), Deadline: now + time.Minute}})
-			if d.Verdict != Admit {
+			if d.Verdict != Admitted {
 				break
 			}
 		}
--- a/admission/search_test.go
+++ b/admission/search_test.go
@@ -83,7 +83,7 @@
 		now = next
 		next += time.Duration(rng.ExpFloat64() / s.arrivals * float64(time.Second))
 		w := &Waiter{Request: Request{Rank: rank.Make(rank.Normal, uint8(rng.IntN(256))), Kind: uint8(rng.IntN(2)), Deadline: now + 700*time.Millisecond}}
-		if g.Arrive(now, w).Verdict == Admit {
+		if g.Arrive(now, w).Verdict == Admitted {
 			begin(now, w)
 		}
 	}
--- a/internal/fleetmodel/work.go
+++ b/internal/fleetmodel/work.go
@@ -46,7 +46,7 @@
 		evicted.refuse(fault.Overload)
 	}
 	switch d.Verdict {
-	case admission.Admit:
+	case admission.Admitted:
 		w.start()
 	case admission.Refused:
 		w.refuse(d.Code)
--- a/internal/node/gate.go
+++ b/internal/node/gate.go
@@ -50,7 +50,7 @@
 	giveUp := w.GiveUp()
 	g.mu.Unlock()
 	switch d.Verdict {
-	case admission.Admit:
+	case admission.Admitted:
 		waiterPool.Put(w)
 		return fault.None
 	case admission.Refused:
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -223,7 +223,7 @@
 			m.end(s, d.Evicted, fault.Overload)
 		}
 		switch d.Verdict {
-		case admission.Admit:
+		case admission.Admitted:
 			m.start(s, w)
 		case admission.Refused:
 			m.end(s, w, d.Code)
