--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -124,7 +124,7 @@
 		m.fail("%d wait, the guard counts %d", len(m.waiting), m.g.Queued())
 	}
 	for w := range m.waiting {
-		if w.GiveUp() > w.Request.Deadline {
+		if w.QueueDeadline() > w.Request.Deadline {
 			m.fail("a request may wait beyond its deadline")
 		}
 	}
@@ -157,7 +157,7 @@
 	for range rapid.IntRange(10, 200).Draw(t, "steps") {
 		m.now += time.Duration(rapid.IntRange(0, 20).Draw(t, "pause")) * time.Millisecond
 		for w := range m.waiting {
-			if w.GiveUp() <= m.now && m.g.RemoveWaiter(m.now, w) {
+			if w.QueueDeadline() <= m.now && m.g.RemoveWaiter(m.now, w) {
 				delete(m.waiting, w)
 				m.refused[w] = true
 			}
@@ -214,7 +214,7 @@
 		}
 	}
 	for w := range s.waiting {
-		if w.GiveUp() <= s.now && s.g.RemoveWaiter(s.now, w) {
+		if w.QueueDeadline() <= s.now && s.g.RemoveWaiter(s.now, w) {
 			delete(s.waiting, w)
 		}
 	}
--- a/admission/guard.go
+++ b/admission/guard.go
@@ -80,7 +80,7 @@
 }
 
 // GiveUp returns when the waiter's time in the queue is over.
-func (w *Waiter) GiveUp() time.Duration { return w.giveUp }
+func (w *Waiter) QueueDeadline() time.Duration { return w.giveUp }
 
 // Verdict is the answer to an arrival.
 type Verdict uint8
--- a/internal/fleetmodel/work.go
+++ b/internal/fleetmodel/work.go
@@ -52,7 +52,7 @@
 		w.refuse(d.Code)
 	case admission.Enqueued:
 		n.waiting[&w.waiter] = w
-		p.after(w.waiter.GiveUp()-p.now, func() { w.giveUp(fault.QueueTimeout) })
+		p.after(w.waiter.QueueDeadline()-p.now, func() { w.giveUp(fault.QueueTimeout) })
 	}
 	return w
 }
--- a/internal/node/gate.go
+++ b/internal/node/gate.go
@@ -47,7 +47,7 @@
 	if d.Evicted != nil {
 		d.Evicted.Wake <- fault.Overload
 	}
-	giveUp := w.GiveUp()
+	giveUp := w.QueueDeadline()
 	g.mu.Unlock()
 	switch d.Verdict {
 	case admission.Admitted:
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -228,7 +228,7 @@
 		case admission.Refused:
 			m.end(s, w, d.Code)
 		case admission.Enqueued:
-			m.after(w.GiveUp()-m.now, func() {
+			m.after(w.QueueDeadline()-m.now, func() {
 				if s.guard.RemoveWaiter(m.now, w) {
 					m.end(s, w, fault.QueueTimeout)
 				}
