--- a/admission/guard.go
+++ b/admission/guard.go
@@ -56,7 +56,7 @@
 	Depth uint8
 	// Busy is set if a service further down is overloaded, so that work for
 	// a request that will not finish is taken from others.
-	Busy bool
+	DownstreamOverloaded bool
 	// Kind indexes the estimate of the service time, below MaxKinds.
 	Kind uint8
 	// Deadline is when the answer is worthless, on the guard's clock.
@@ -331,7 +331,7 @@
 		return 0
 	}
 	i := r.Kind % MaxKinds
-	if r.Busy || len(g.queue) > 0 {
+	if r.DownstreamOverloaded || len(g.queue) > 0 {
 		return g.typical[i].value
 	}
 	return g.least[i].value
--- a/internal/fleetmodel/work.go
+++ b/internal/fleetmodel/work.go
@@ -38,7 +38,7 @@
 	w := &work{n: n, boot: n.boot, call: c, pool: pool, repeat: repeat, done: done}
 	p.works[w] = true
 	w.waiter.Request = admission.Request{
-		Rank: c.rank, Depth: c.depth, Kind: c.kind.index, Deadline: c.deadline, Busy: n.nested.Level(c.root.Name, p.now) > 0,
+		Rank: c.rank, Depth: c.depth, Kind: c.kind.index, Deadline: c.deadline, DownstreamOverloaded: n.nested.Level(c.root.Name, p.now) > 0,
 	}
 	d := n.guard.Arrive(p.now, &w.waiter)
 	if evicted := n.waiting[d.Evicted]; d.Evicted != nil {
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -52,7 +52,7 @@
 	kind := n.kinds.index(c.target)
 	code := n.gate.enter(c.scope, admission.Request{
 		Rank: c.rank, Depth: c.depth, Kind: kind, Deadline: n.clock() + c.scope.Remaining(),
-		Busy: n.nested.Level(c.root, n.clock()) > 0,
+		DownstreamOverloaded: n.nested.Level(c.root, n.clock()) > 0,
 	})
 	if code != fault.None {
 		p.happen(requestRefuse)
