--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -71,7 +71,7 @@
 	if m.reversed {
 		m.reverse()
 	}
-	next, late := m.g.Finish(m.now, Outcome{Took: took}, nil)
+	next, late := m.g.Finish(m.now, Outcome{ServiceTime: took}, nil)
 	m.end(next, late)
 	for {
 		next, late = m.g.AdmitNext(m.now, nil)
@@ -205,7 +205,7 @@
 	}
 	s.busy = still
 	for range ended {
-		next, late := s.g.Finish(s.now, Outcome{Took: s.service}, nil)
+		next, late := s.g.Finish(s.now, Outcome{ServiceTime: s.service}, nil)
 		for _, w := range late {
 			delete(s.waiting, w)
 		}
@@ -276,6 +276,6 @@
 	for b.Loop() {
 		now += 10 * time.Microsecond
 		g.Arrive(now, w)
-		_, late = g.Finish(now, Outcome{Took: time.Millisecond}, late[:0])
+		_, late = g.Finish(now, Outcome{ServiceTime: time.Millisecond}, late[:0])
 	}
 }
--- a/admission/guard.go
+++ b/admission/guard.go
@@ -215,7 +215,7 @@
 	// Kind is the request's kind index.
 	Kind uint8
 	// Took is the time in the backend server; zero if it never got there.
-	Took time.Duration
+	ServiceTime time.Duration
 	// Expired is set if the request was given up after Took, so that Took is
 	// only the least that it would have needed.
 	Expired bool
@@ -232,7 +232,7 @@
 	g.inflight--
 	g.ctl.done()
 	g.learn(o)
-	if full && o.Took > 0 && !o.Expired {
+	if full && o.ServiceTime > 0 && !o.Expired {
 		g.timed(now, o)
 	}
 	if o.Pushback && float64(g.inflight+1) >= pushbackFrom*float64(g.opt.Slots) {
@@ -246,7 +246,7 @@
 // search to the next limit at once.
 func (g *Limiter) timed(now time.Duration, o Outcome) {
 	before := g.search.ceiling(g.opt.Slots)
-	g.search.finish(now, o.Kind, o.Took, g.opt.Slots)
+	g.search.finish(now, o.Kind, o.ServiceTime, g.opt.Slots)
 	if after := g.search.ceiling(g.opt.Slots); g.limit >= before || g.limit > after {
 		g.limit = after
 	}
@@ -276,19 +276,19 @@
 // learn takes in how long a request took. One that was given up tells only
 // that its kind may need longer.
 func (g *Limiter) learn(o Outcome) {
-	if o.Took <= 0 {
+	if o.ServiceTime <= 0 {
 		return
 	}
 	i := o.Kind % MaxKinds
 	if o.Expired {
-		if o.Took > g.typical[i].value {
-			g.typical[i].observe(o.Took, typicalQuantile)
+		if o.ServiceTime > g.typical[i].value {
+			g.typical[i].observe(o.ServiceTime, typicalQuantile)
 		}
 		return
 	}
-	g.least[i].observe(o.Took, leastQuantile)
-	g.typical[i].observe(o.Took, typicalQuantile)
-	g.service += (o.Took - g.service) / serviceKeep
+	g.least[i].observe(o.ServiceTime, leastQuantile)
+	g.typical[i].observe(o.ServiceTime, typicalQuantile)
+	g.service += (o.ServiceTime - g.service) / serviceKeep
 }
 
 const (
--- a/admission/pushback_test.go
+++ b/admission/pushback_test.go
@@ -24,7 +24,7 @@
 			}
 		}
 		if g.InFlight() > 0 {
-			g.Finish(now, Outcome{Took: 20 * time.Millisecond, Pushback: i%2 == 0}, nil)
+			g.Finish(now, Outcome{ServiceTime: 20 * time.Millisecond, Pushback: i%2 == 0}, nil)
 		}
 		lowest = min(lowest, g.Limit())
 	}
--- a/admission/search_test.go
+++ b/admission/search_test.go
@@ -68,7 +68,7 @@
 		if len(running) > 0 && running[0].ends <= next {
 			r := heap.Pop(&running).(run)
 			now = r.ends
-			if w, _ := g.Finish(now, Outcome{Kind: r.kind, Took: r.took}, nil); w != nil {
+			if w, _ := g.Finish(now, Outcome{Kind: r.kind, ServiceTime: r.took}, nil); w != nil {
 				begin(now, w)
 			}
 			if now > lasts/2 {
--- a/internal/fleetmodel/work.go
+++ b/internal/fleetmodel/work.go
@@ -126,9 +126,9 @@
 func (w *work) finish() {
 	p := w.n.p
 	took := p.now - w.since
-	out := admission.Outcome{Kind: w.call.kind.index, Took: took}
+	out := admission.Outcome{Kind: w.call.kind.index, ServiceTime: took}
 	if w.failed {
-		out.Took = 0
+		out.ServiceTime = 0
 	}
 	lost := p.rng.Float64() < w.n.server.lose
 	w.release(out)
@@ -197,6 +197,6 @@
 		w.open.done = func(answer) {}
 		w.n.end(w.open, answer{code: fault.Canceled, run: fault.RunUnknown})
 	}
-	w.release(admission.Outcome{Kind: w.call.kind.index, Took: w.n.p.now - w.since, Expired: true})
+	w.release(admission.Outcome{Kind: w.call.kind.index, ServiceTime: w.n.p.now - w.since, Expired: true})
 	w.end(answer{code: fault.Canceled, run: fault.RunUnknown})
 }
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -88,7 +88,7 @@
 		ferr := fault.From(err)
 		out := admission.Outcome{Kind: kind}
 		if ferr.Code == fault.Deadline {
-			out.Took, out.Expired = time.Since(started), true
+			out.ServiceTime, out.Expired = time.Since(started), true
 		}
 		n.gate.leave(out)
 		if ferr.Run == fault.RunNo {
@@ -126,7 +126,7 @@
 		}
 		resp.Close()
 		n.endWork(w)
-		n.gate.leave(admission.Outcome{Kind: kind, Took: took, Expired: expired, Pushback: pushback})
+		n.gate.leave(admission.Outcome{Kind: kind, ServiceTime: took, Expired: expired, Pushback: pushback})
 	}
 	if n.opt.Edge != nil && c.method != http.MethodHead {
 		if err := a.readWhole(); err != nil {
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -245,7 +245,7 @@
 	}
 	took := time.Duration(float64(m.draw(modelWork[kind])) * slow / s.speed)
 	m.after(took, func() {
-		next, late := s.guard.Finish(m.now, admission.Outcome{Kind: uint8(kind), Took: took}, nil)
+		next, late := s.guard.Finish(m.now, admission.Outcome{Kind: uint8(kind), ServiceTime: took}, nil)
 		for next != nil || len(late) > 0 {
 			for _, l := range late {
 				m.end(s, l, fault.Deadline)
