--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -76,7 +76,7 @@
 	for b.Loop() {
 		now += 10 * time.Microsecond
 		p.Reset(3)
-		s.First(now, limits)
+		s.RecordFirstAttempt(now, limits)
 		n := p.Lease()
 		p.Settle(n, 0)
 	}
--- a/budget/share.go
+++ b/budget/share.go
@@ -58,7 +58,7 @@
 
 // First counts a first attempt. It makes no use of a clock of its own: now is
 // the time since any fixed moment.
-func (s *Throttle) First(now time.Duration, l Limits) { s.slice(now, l).first.Add(1) }
+func (s *Throttle) RecordFirstAttempt(now time.Duration, l Limits) { s.slice(now, l).first.Add(1) }
 
 // Repeat counts an attempt that is made in any case and counts as a retry, as
 // it belongs to a run that was itself a repeat.
--- a/budget/share_test.go
+++ b/budget/share_test.go
@@ -36,7 +36,7 @@
 		for range rapid.IntRange(10, 300).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 400).Draw(t, "pause")) * time.Millisecond
 			for range rapid.IntRange(0, 9).Draw(t, "firsts") {
-				s.First(now, limits)
+				s.RecordFirstAttempt(now, limits)
 				firsts = append(firsts, now)
 			}
 			for range rapid.IntRange(0, 4).Draw(t, "failures") {
@@ -62,7 +62,7 @@
 	g := gomega.NewWithT(t)
 	var s Throttle
 	for i := range 1000 {
-		s.First(time.Duration(i)*10*time.Millisecond, limits)
+		s.RecordFirstAttempt(time.Duration(i)*10*time.Millisecond, limits)
 	}
 	granted := 0
 	for s.Spend(14*time.Second, top, limits) {
@@ -81,7 +81,7 @@
 	rng := rand.New(rand.NewPCG(3, 4))
 	for i := range 20_000 {
 		now := time.Duration(i) * time.Millisecond
-		s.First(now, limits)
+		s.RecordFirstAttempt(now, limits)
 		class := rank.Normal
 		if i%8 == 0 {
 			class = rank.Protected
@@ -104,7 +104,7 @@
 	var s Throttle
 	for i := range 500 {
 		now := time.Duration(i) * 20 * time.Millisecond
-		s.First(now, limits)
+		s.RecordFirstAttempt(now, limits)
 		if i > 100 && i%20 == 0 {
 			g.Expect(s.Spend(now, 0, limits)).To(gomega.BeTrue())
 		}
@@ -115,7 +115,7 @@
 	g := gomega.NewWithT(t)
 	var s Throttle
 	for range 100 {
-		s.First(time.Second, limits)
+		s.RecordFirstAttempt(time.Second, limits)
 	}
 	for range 17 {
 		s.Repeat(time.Second, limits)
@@ -181,7 +181,7 @@
 
 func (s *shedding) call(c *chained) {
 	at := time.Duration(s.now) * time.Millisecond
-	c.share.First(at, limits)
+	c.share.RecordFirstAttempt(at, limits)
 	s.firsts[s.now/1000]++
 	for s.within() && s.rng.Float64() < shedShare {
 		if c.pool == 0 || !c.share.Spend(at, c.rank, limits) {
--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -103,7 +103,7 @@
 	if c.repeat {
 		share.Repeat(p.now, p.limits)
 	} else {
-		share.First(p.now, p.limits)
+		share.RecordFirstAttempt(p.now, p.limits)
 	}
 	n.attempt(c)
 }
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -54,7 +54,7 @@
 	if c.repeat {
 		retries.Repeat(n.clock(), limits)
 	} else {
-		retries.First(n.clock(), limits)
+		retries.RecordFirstAttempt(n.clock(), limits)
 	}
 	for {
 		a, in, ferr := n.attempt(c)
