--- a/budget/share.go
+++ b/budget/share.go
@@ -62,7 +62,7 @@
 
 // Repeat counts an attempt that is made in any case and counts as a retry, as
 // it belongs to a run that was itself a repeat.
-func (s *Throttle) Repeat(now time.Duration, l Limits) { s.slice(now, l).repeats.Add(1) }
+func (s *Throttle) RecordRetry(now time.Duration, l Limits) { s.slice(now, l).repeats.Add(1) }
 
 // Spend decides over a retry of a request and counts it if it is granted.
 func (s *Throttle) Spend(now time.Duration, r rank.Rank, l Limits) bool {
@@ -74,7 +74,7 @@
 	if left < 1 || rank.Level(r) < s.level {
 		return false
 	}
-	s.Repeat(now, l)
+	s.RecordRetry(now, l)
 	return true
 }
 
--- a/budget/share_test.go
+++ b/budget/share_test.go
@@ -118,7 +118,7 @@
 		s.RecordFirstAttempt(time.Second, limits)
 	}
 	for range 17 {
-		s.Repeat(time.Second, limits)
+		s.RecordRetry(time.Second, limits)
 	}
 	g.Expect(s.Spend(time.Second, top, limits)).To(gomega.BeFalse())
 	g.Expect(s.Spend(12*time.Second, top, limits)).To(gomega.BeTrue(), "they have left the window")
--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -101,7 +101,7 @@
 	}
 	share := n.share(c.kind.Service)
 	if c.repeat {
-		share.Repeat(p.now, p.limits)
+		share.RecordRetry(p.now, p.limits)
 	} else {
 		share.RecordFirstAttempt(p.now, p.limits)
 	}
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -52,7 +52,7 @@
 	n.stats.calls.Add(1)
 	retries, limits := n.retries(c.service), retryLimits(c.policy)
 	if c.repeat {
-		retries.Repeat(n.clock(), limits)
+		retries.RecordRetry(n.clock(), limits)
 	} else {
 		retries.RecordFirstAttempt(n.clock(), limits)
 	}
