--- a/budget/share.go
+++ b/budget/share.go
@@ -65,7 +65,7 @@
 func (s *Throttle) RecordRetry(now time.Duration, l Limits) { s.slice(now, l).repeats.Add(1) }
 
 // Spend decides over a retry of a request and counts it if it is granted.
-func (s *Throttle) Spend(now time.Duration, r rank.Rank, l Limits) bool {
+func (s *Throttle) AllowRetry(now time.Duration, r rank.Rank, l Limits) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all, left := s.allowed(now, l)
--- a/budget/share_test.go
+++ b/budget/share_test.go
@@ -40,7 +40,7 @@
 				firsts = append(firsts, now)
 			}
 			for range rapid.IntRange(0, 4).Draw(t, "failures") {
-				if s.Spend(now, rank.Rank(rapid.IntRange(0, rank.Count-1).Draw(t, "rank")), limits) {
+				if s.AllowRetry(now, rank.Rank(rapid.IntRange(0, rank.Count-1).Draw(t, "rank")), limits) {
 					retries = append(retries, now)
 				}
 			}
@@ -65,12 +65,12 @@
 		s.RecordFirstAttempt(time.Duration(i)*10*time.Millisecond, limits)
 	}
 	granted := 0
-	for s.Spend(14*time.Second, top, limits) {
+	for s.AllowRetry(14*time.Second, top, limits) {
 		granted++
 	}
 	g.Expect(granted).To(gomega.BeNumerically("~", 160, 2))
-	g.Expect(s.Spend(40*time.Second, top, limits)).To(gomega.BeTrue(), "the burst is there again")
-	g.Expect(s.Spend(40*time.Second, top, limits)).To(gomega.BeFalse(), "nothing was sent for two windows")
+	g.Expect(s.AllowRetry(40*time.Second, top, limits)).To(gomega.BeTrue(), "the burst is there again")
+	g.Expect(s.AllowRetry(40*time.Second, top, limits)).To(gomega.BeFalse(), "nothing was sent for two windows")
 }
 
 func TestShareLeavesRetriesToTheMoreUrgent(t *testing.T) {
@@ -90,7 +90,7 @@
 			continue
 		}
 		asked[class]++
-		if s.Spend(now, rank.Make(class, uint8(rng.IntN(rank.Cohorts))), limits) {
+		if s.AllowRetry(now, rank.Make(class, uint8(rng.IntN(rank.Cohorts))), limits) {
 			granted[class]++
 		}
 	}
@@ -106,7 +106,7 @@
 		now := time.Duration(i) * 20 * time.Millisecond
 		s.RecordFirstAttempt(now, limits)
 		if i > 100 && i%20 == 0 {
-			g.Expect(s.Spend(now, 0, limits)).To(gomega.BeTrue())
+			g.Expect(s.AllowRetry(now, 0, limits)).To(gomega.BeTrue())
 		}
 	}
 }
@@ -120,8 +120,8 @@
 	for range 17 {
 		s.RecordRetry(time.Second, limits)
 	}
-	g.Expect(s.Spend(time.Second, top, limits)).To(gomega.BeFalse())
-	g.Expect(s.Spend(12*time.Second, top, limits)).To(gomega.BeTrue(), "they have left the window")
+	g.Expect(s.AllowRetry(time.Second, top, limits)).To(gomega.BeFalse())
+	g.Expect(s.AllowRetry(12*time.Second, top, limits)).To(gomega.BeTrue(), "they have left the window")
 }
 
 // chained is a request that makes calls to one service one after the other.
@@ -184,7 +184,7 @@
 	c.share.RecordFirstAttempt(at, limits)
 	s.firsts[s.now/1000]++
 	for s.within() && s.rng.Float64() < shedShare {
-		if c.pool == 0 || !c.share.Spend(at, c.rank, limits) {
+		if c.pool == 0 || !c.share.AllowRetry(at, c.rank, limits) {
 			return
 		}
 		c.pool--
--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -287,7 +287,7 @@
 		if !c.pool.Spend() {
 			return false
 		}
-		if !n.share(c.kind.Service).Spend(p.now, c.rank, p.limits) {
+		if !n.share(c.kind.Service).AllowRetry(p.now, c.rank, p.limits) {
 			c.pool.Settle(1, 0)
 			return false
 		}
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -201,7 +201,7 @@
 	if !c.pool.Spend() {
 		return false
 	}
-	if !retries.Spend(n.clock(), c.rank, retryLimits(c.policy)) {
+	if !retries.AllowRetry(n.clock(), c.rank, retryLimits(c.policy)) {
 		c.pool.Settle(1, 0)
 		return false
 	}
