--- a/budget/budget.go
+++ b/budget/budget.go
@@ -23,7 +23,7 @@
 }
 
 // Left returns how many retries remain.
-func (p *Pool) Left() int { return int(p.left.Load()) }
+func (p *Pool) Remaining() int { return int(p.left.Load()) }
 
 // Spent returns how many retries were used here or below.
 func (p *Pool) Spent() int { return int(p.spent.Load()) }
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -247,7 +247,7 @@
 	h[HeaderCall] = []string{w.token}
 	h[HeaderRemaining] = []string{milliseconds(c.scope.Remaining())}
 	h[HeaderClass] = []string{c.rank.Class().String()}
-	h[HeaderBudget] = []string{strconv.Itoa(pool.Left())}
+	h[HeaderBudget] = []string{strconv.Itoa(pool.Remaining())}
 	return &http.Request{Method: c.method, URL: u, Host: be.client.Addr(), Header: h, ContentLength: c.bodyLen}
 }
 
