--- a/budget/budget.go
+++ b/budget/budget.go
@@ -70,7 +70,7 @@
 }
 
 // Lose ends a lease whose answer never came: all of it counts as spent.
-func (p *Pool) Lose(n int) { p.Settle(n, n) }
+func (p *Pool) ForfeitLease(n int) { p.Settle(n, n) }
 
 func (p *Pool) take(n int32) int32 {
 	for {
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -46,7 +46,7 @@
 		budget := rapid.IntRange(0, 16).Draw(t, "budget")
 		var p Pool
 		p.Reset(budget)
-		if n := tree(t, &p, 4, (*Pool).Lose); n > budget {
+		if n := tree(t, &p, 4, (*Pool).ForfeitLease); n > budget {
 			t.Fatalf("%d retries with a budget of %d", n, budget)
 		}
 	})
--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -208,7 +208,7 @@
 		open = false
 		c.cancel = nil
 		if a.code == fault.PeerSilent {
-			c.pool.Lose(lease)
+			c.pool.ForfeitLease(lease)
 			in.Seen.CutOff(true)
 		} else {
 			c.pool.Settle(lease, a.spent)
@@ -223,7 +223,7 @@
 			return
 		}
 		open = false
-		c.pool.Lose(lease)
+		c.pool.ForfeitLease(lease)
 		in.Seen.End(p.now, route.Report{Waited: p.now - began}, p.eject())
 		p.after(way, func() {
 			if w != nil {
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -333,7 +333,7 @@
 	}
 	wa, err := n.peers.client(in.Addr, c.policy.Silence).Do(c.scope, req, c.body, c.stream)
 	if err != nil {
-		c.pool.Lose(lease)
+		c.pool.ForfeitLease(lease)
 		ferr := fault.From(err)
 		report := route.Report{Failed: instanceFailed(nil, ferr)}
 		if ferr.Code == fault.Deadline {
