--- a/budget/budget.go
+++ b/budget/budget.go
@@ -61,7 +61,7 @@
 // Settle ends a lease of n of which the call below reports spent as used.
 // A report out of range counts as all spent: the other side is not trusted
 // with more than it was given.
-func (p *Pool) Settle(n, spent int) {
+func (p *Pool) SettleLease(n, spent int) {
 	if spent < 0 || spent > n {
 		spent = n
 	}
@@ -70,7 +70,7 @@
 }
 
 // Lose ends a lease whose answer never came: all of it counts as spent.
-func (p *Pool) ForfeitLease(n int) { p.Settle(n, n) }
+func (p *Pool) ForfeitLease(n int) { p.SettleLease(n, n) }
 
 func (p *Pool) take(n int32) int32 {
 	for {
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -36,7 +36,7 @@
 	if rapid.Bool().Draw(t, "answer lost") {
 		lose(p, lease)
 	} else {
-		p.Settle(lease, below.Spent())
+		p.SettleLease(lease, below.Spent())
 	}
 	return retries
 }
@@ -60,7 +60,7 @@
 		budget := rapid.IntRange(0, 16).Draw(t, "budget")
 		var p Pool
 		p.Reset(budget)
-		giveBack := func(p *Pool, lease int) { p.Settle(lease, 0) }
+		giveBack := func(p *Pool, lease int) { p.SettleLease(lease, 0) }
 		found = found || tree(t, &p, 4, giveBack) > budget
 	})
 	if !found {
@@ -78,6 +78,6 @@
 		p.Reset(3)
 		s.RecordFirstAttempt(now, limits)
 		n := p.Lease()
-		p.Settle(n, 0)
+		p.SettleLease(n, 0)
 	}
 }
--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -211,7 +211,7 @@
 			c.pool.ForfeitLease(lease)
 			in.Seen.CutOff(true)
 		} else {
-			c.pool.Settle(lease, a.spent)
+			c.pool.SettleLease(lease, a.spent)
 			n.pathOf(c).Observe(c.root.Name, c.kind.Service, a.path, p.now)
 			a.report.Took = p.now - began
 		}
@@ -288,7 +288,7 @@
 			return false
 		}
 		if !n.share(c.kind.Service).AllowRetry(p.now, c.rank, p.limits) {
-			c.pool.Settle(1, 0)
+			c.pool.SettleLease(1, 0)
 			return false
 		}
 		return true
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -202,7 +202,7 @@
 		return false
 	}
 	if !retries.AllowRetry(n.clock(), c.rank, retryLimits(c.policy)) {
-		c.pool.Settle(1, 0)
+		c.pool.SettleLease(1, 0)
 		return false
 	}
 	return true
@@ -349,7 +349,7 @@
 		return nil, ferr
 	}
 	r := &wa.Reply
-	c.pool.Settle(lease, int(r.Spent))
+	c.pool.SettleLease(lease, int(r.Spent))
 	n.pathsOf(c).Observe(c.root, c.service, r.PathLevel, n.clock())
 	a := &answer{status: int(r.Status), header: r.Header, length: r.BodyLen, body: wa.Body, close: wa.Close}
 	var ferr *fault.Error
