--- a/budget/budget.go
+++ b/budget/budget.go
@@ -29,7 +29,7 @@
 func (p *Pool) Spent() int { return int(p.spent.Load()) }
 
 // Spend takes one retry; false if none is left.
-func (p *Pool) Spend() bool {
+func (p *Pool) TrySpend() bool {
 	if p.take(1) == 0 {
 		return false
 	}
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -16,7 +16,7 @@
 	for range calls {
 		for {
 			retries += attempt(t, p, depth, lose)
-			if !rapid.Bool().Draw(t, "fails") || !p.Spend() {
+			if !rapid.Bool().Draw(t, "fails") || !p.TrySpend() {
 				break
 			}
 			retries++
--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -284,7 +284,7 @@
 		c.state.Free++
 		return true
 	case retry.Paid:
-		if !c.pool.Spend() {
+		if !c.pool.TrySpend() {
 			return false
 		}
 		if !n.share(c.kind.Service).AllowRetry(p.now, c.rank, p.limits) {
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -198,7 +198,7 @@
 
 // payRetry takes a retry from the call's pool and from the share of its service.
 func (n *Node) payRetry(c *call, retries *budget.Throttle) bool {
-	if !c.pool.Spend() {
+	if !c.pool.TrySpend() {
 		return false
 	}
 	if !retries.AllowRetry(n.clock(), c.rank, retryLimits(c.policy)) {
