--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -186,7 +186,7 @@
 		f.Code, f.Run = e.Code, e.Run
 	}
 	switch retry.Decide(n.retryState(c), f) {
-	case retry.Free:
+	case retry.RetryUncharged:
 		c.free++
 		return true
 	case retry.Paid:
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -47,7 +47,7 @@
 	// GiveUp ends the call.
 	GiveUp Verdict = iota
 	// Free sends it once more at no cost: no backend server saw it.
-	Free
+	RetryUncharged
 	// Paid sends it once more if the retry budgets pay for it.
 	Paid
 )
@@ -68,7 +68,7 @@
 	case f.Code == fault.BackendLost && f.Run != fault.RunNo && c.Ends > maxEnds:
 		return GiveUp
 	case neverOffered(f) && c.Free < maxFree:
-		return Free
+		return RetryUncharged
 	case !mayGoOn(c, f):
 		return GiveUp
 	default:
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -27,7 +27,7 @@
 		"turned away by its server":              {sound, retry.Failure{Code: fault.Rejected, Chosen: true}, retry.Paid},
 		"may have run, not idempotent":           {sound, retry.Failure{Code: fault.PeerLost, Run: fault.RunUnknown, Chosen: true}, retry.GiveUp},
 		"may have run, idempotent":               {idempotent, retry.Failure{Code: fault.PeerLost, Run: fault.RunUnknown, Chosen: true}, retry.Paid},
-		"an instance that leaves":                {sound, retry.Failure{Code: fault.Draining, Chosen: true}, retry.Free},
+		"an instance that leaves":                {sound, retry.Failure{Code: fault.Draining, Chosen: true}, retry.RetryUncharged},
 		"the fourth one that leaves":             {with(func(c *retry.Call) { c.Free = 3 }), retry.Failure{Code: fault.Draining, Chosen: true}, retry.Paid},
 		"an overloaded instance":                 {sound, retry.Failure{Code: fault.Overload, Chosen: true}, retry.Paid},
 		"a second overloaded instance":           {with(func(c *retry.Call) { c.Attempts = 2 }), retry.Failure{Code: fault.Overload, Chosen: true}, retry.GiveUp},
