--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -283,7 +283,7 @@
 	case retry.RetryUncharged:
 		c.state.Free++
 		return true
-	case retry.Paid:
+	case retry.RetryCharged:
 		if !c.pool.TrySpend() {
 			return false
 		}
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -189,7 +189,7 @@
 	case retry.RetryUncharged:
 		c.free++
 		return true
-	case retry.Paid:
+	case retry.RetryCharged:
 		return n.payRetry(c, retries)
 	default:
 		return false
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -49,7 +49,7 @@
 	// Free sends it once more at no cost: no backend server saw it.
 	RetryUncharged
 	// Paid sends it once more if the retry budgets pay for it.
-	Paid
+	RetryCharged
 )
 
 // maxFree is how often a call is sent to another node at no cost: a leaving instance
@@ -72,7 +72,7 @@
 	case !mayGoOn(c, f):
 		return GiveUp
 	default:
-		return Paid
+		return RetryCharged
 	}
 }
 
