--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -198,7 +198,7 @@
 	lease := c.pool.Lease()
 	below := &budget.Pool{}
 	below.Reset(lease)
-	repeat := c.repeat || c.state.Attempts-c.state.Free > 1
+	repeat := c.repeat || c.state.Attempts-c.state.Uncharged > 1
 	var w *work
 	open, boot := true, n.boot
 	back := func(a answer) {
@@ -281,7 +281,7 @@
 	p := n.p
 	switch retry.Decide(c.state, retry.Failure{Code: a.code, Run: a.run, Chosen: in != nil}) {
 	case retry.RetryUncharged:
-		c.state.Free++
+		c.state.Uncharged++
 		return true
 	case retry.RetryCharged:
 		if !c.pool.TrySpend() {
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -21,7 +21,7 @@
 	// Idempotent tells whether it may run more than once.
 	Idempotent bool
 	// Attempts counts the attempts, and Free those that cost no retry.
-	Attempts, Free int
+	Attempts, Uncharged int
 	// Offered is how many backend servers were offered the call, and OfferMax how
 	// many may be, 0 for any number.
 	Offered, OfferMax int
@@ -67,7 +67,7 @@
 		return GiveUp
 	case f.Code == fault.BackendLost && f.Run != fault.RunNo && c.Ends > maxEnds:
 		return GiveUp
-	case neverOffered(f) && c.Free < maxFree:
+	case neverOffered(f) && c.Uncharged < maxFree:
 		return RetryUncharged
 	case !mayGoOn(c, f):
 		return GiveUp
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -28,7 +28,7 @@
 		"may have run, not idempotent":           {sound, retry.Failure{Code: fault.PeerLost, Run: fault.RunUnknown, Chosen: true}, retry.GiveUp},
 		"may have run, idempotent":               {idempotent, retry.Failure{Code: fault.PeerLost, Run: fault.RunUnknown, Chosen: true}, retry.RetryCharged},
 		"an instance that leaves":                {sound, retry.Failure{Code: fault.Draining, Chosen: true}, retry.RetryUncharged},
-		"the fourth one that leaves":             {with(func(c *retry.Call) { c.Free = 3 }), retry.Failure{Code: fault.Draining, Chosen: true}, retry.RetryCharged},
+		"the fourth one that leaves":             {with(func(c *retry.Call) { c.Uncharged = 3 }), retry.Failure{Code: fault.Draining, Chosen: true}, retry.RetryCharged},
 		"an overloaded instance":                 {sound, retry.Failure{Code: fault.Overload, Chosen: true}, retry.RetryCharged},
 		"a second overloaded instance":           {with(func(c *retry.Call) { c.Attempts = 2 }), retry.Failure{Code: fault.Overload, Chosen: true}, retry.GiveUp},
 		"nobody takes it":                        {sound, retry.Failure{Code: fault.Overload}, retry.GiveUp},
@@ -48,7 +48,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := retry.Call{
 			Replayable: rapid.Bool().Draw(t, "replayable"), Attempts: rapid.IntRange(1, 9).Draw(t, "attempts"),
-			Free: rapid.IntRange(0, 4).Draw(t, "free"), Offered: rapid.IntRange(0, 4).Draw(t, "offered"), OfferMax: rapid.IntRange(0, 4).Draw(t, "most"),
+			Uncharged: rapid.IntRange(0, 4).Draw(t, "free"), Offered: rapid.IntRange(0, 4).Draw(t, "offered"), OfferMax: rapid.IntRange(0, 4).Draw(t, "most"),
 		}
 		f := retry.Failure{
 			Code: fault.Code(rapid.IntRange(1, int(fault.Rejected)).Draw(t, "code")), Chosen: rapid.Bool().Draw(t, "chosen"),
