--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -213,7 +213,7 @@
 	return retry.Call{
 		Replayable: c.replayable(), Idempotent: c.policy.Idempotent,
 		Attempts: c.attempts, Uncharged: c.free, Offered: len(c.sentTo), OfferMax: c.policy.AttemptsMax,
-		Ends: max(c.broken, n.quarantine.ends(c)),
+		Terminations: max(c.broken, n.quarantine.ends(c)),
 	}
 }
 
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -27,7 +27,7 @@
 	Offered, OfferMax int
 	// Ends is how many backend servers are known to have ended, or to have broken
 	// off, while they ran it or requests like it.
-	Ends int
+	Terminations int
 }
 
 // Failure is why an attempt failed. Its zero value is an answer of the backend server
@@ -65,7 +65,7 @@
 		return GiveUp
 	case f.Code != fault.None && !helps(c, f):
 		return GiveUp
-	case f.Code == fault.BackendLost && f.Run != fault.RunNo && c.Ends > maxEnds:
+	case f.Code == fault.BackendLost && f.Run != fault.RunNo && c.Terminations > maxEnds:
 		return GiveUp
 	case neverOffered(f) && c.Uncharged < maxFree:
 		return RetryUncharged
