--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -162,7 +162,7 @@
 		Service: c.kind.Service, Rank: c.rank, Depth: c.depth, Now: p.now, Avoid: c.avoid, AvoidIfOthers: c.last == fault.Rejected,
 		Options: route.Options{SpillAt: p.fleet.Policy.SpillAt, EjectMax: p.fleet.Policy.EjectMax, Ramp: p.fleet.Policy.Ramp},
 	}
-	if c.state.OfferMax > 0 && c.state.Offered >= c.state.OfferMax {
+	if c.state.MaxOffered > 0 && c.state.Offered >= c.state.MaxOffered {
 		q.Among = c.sentTo
 	}
 	in, code := n.routes.Pick(&q, p.rng)
--- a/internal/fleetmodel/play.go
+++ b/internal/fleetmodel/play.go
@@ -188,7 +188,7 @@
 	c := &call{
 		kind: r.kind, root: r.kind, rank: rank.Make(r.kind.Class, uint8(p.rng.IntN(rank.Cohorts))), pool: &budget.Pool{},
 		deadline: p.now + r.kind.Deadline,
-		state:    retry.Call{Replayable: true, Idempotent: r.kind.Idempotent, OfferMax: r.kind.OfferMax},
+		state:    retry.Call{Replayable: true, Idempotent: r.kind.Idempotent, MaxOffered: r.kind.OfferMax},
 	}
 	c.pool.Reset(p.fleet.Policy.RetryBudget)
 	c.done = func(a answer) { p.answered(r, a) }
--- a/internal/fleetmodel/work.go
+++ b/internal/fleetmodel/work.go
@@ -105,7 +105,7 @@
 	c := &call{
 		kind: kind, root: w.call.root, rank: w.call.rank, depth: uint8(min(255, int(w.call.depth)+1+w.finished)),
 		repeat: w.repeat, parent: w, pool: w.pool, deadline: min(w.call.deadline, p.now+kind.Deadline),
-		state: retry.Call{Replayable: true, Idempotent: kind.Idempotent, OfferMax: kind.OfferMax},
+		state: retry.Call{Replayable: true, Idempotent: kind.Idempotent, MaxOffered: kind.OfferMax},
 	}
 	c.done = func(a answer) {
 		if !w.alive() {
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -212,7 +212,7 @@
 func (n *Node) retryState(c *call) retry.Call {
 	return retry.Call{
 		Replayable: c.replayable(), Idempotent: c.policy.Idempotent,
-		Attempts: c.attempts, Uncharged: c.free, Offered: len(c.sentTo), OfferMax: c.policy.AttemptsMax,
+		Attempts: c.attempts, Uncharged: c.free, Offered: len(c.sentTo), MaxOffered: c.policy.AttemptsMax,
 		Terminations: max(c.broken, n.quarantine.ends(c)),
 	}
 }
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -24,7 +24,7 @@
 	Attempts, Uncharged int
 	// Offered is how many backend servers were offered the call, and OfferMax how
 	// many may be, 0 for any number.
-	Offered, OfferMax int
+	Offered, MaxOffered int
 	// Ends is how many backend servers are known to have ended, or to have broken
 	// off, while they ran it or requests like it.
 	Terminations int
@@ -113,7 +113,7 @@
 // sent to as many as it may, one that turned it away may be asked again: one that
 // turns away half of the requests takes the next with the same chance.
 func mayGoOn(c Call, f Failure) bool {
-	if c.OfferMax == 0 || c.Offered < c.OfferMax {
+	if c.MaxOffered == 0 || c.Offered < c.MaxOffered {
 		return true
 	}
 	return f.Code == fault.Rejected && f.Chosen
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -33,8 +33,8 @@
 		"a second overloaded instance":           {with(func(c *retry.Call) { c.Attempts = 2 }), retry.Failure{Code: fault.Overload, Chosen: true}, retry.GiveUp},
 		"nobody takes it":                        {sound, retry.Failure{Code: fault.Overload}, retry.GiveUp},
 		"its time is over":                       {idempotent, retry.Failure{Code: fault.Deadline, Run: fault.RunUnknown, Chosen: true}, retry.GiveUp},
-		"offered to as many as may be, rejected": {with(func(c *retry.Call) { c.Offered, c.OfferMax = 2, 2 }), retry.Failure{Code: fault.Rejected, Chosen: true}, retry.RetryCharged},
-		"offered to as many as may be, lost":     {with(func(c *retry.Call) { c.Offered, c.OfferMax, c.Idempotent = 2, 2, true }), retry.Failure{Code: fault.BackendLost, Run: fault.RunUnknown, Chosen: true}, retry.GiveUp},
+		"offered to as many as may be, rejected": {with(func(c *retry.Call) { c.Offered, c.MaxOffered = 2, 2 }), retry.Failure{Code: fault.Rejected, Chosen: true}, retry.RetryCharged},
+		"offered to as many as may be, lost":     {with(func(c *retry.Call) { c.Offered, c.MaxOffered, c.Idempotent = 2, 2, true }), retry.Failure{Code: fault.BackendLost, Run: fault.RunUnknown, Chosen: true}, retry.GiveUp},
 		"an answer that says failed":             {idempotent, retry.Failure{Run: fault.RunYes, Chosen: true}, retry.RetryCharged},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -48,7 +48,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := retry.Call{
 			Replayable: rapid.Bool().Draw(t, "replayable"), Attempts: rapid.IntRange(1, 9).Draw(t, "attempts"),
-			Uncharged: rapid.IntRange(0, 4).Draw(t, "free"), Offered: rapid.IntRange(0, 4).Draw(t, "offered"), OfferMax: rapid.IntRange(0, 4).Draw(t, "most"),
+			Uncharged: rapid.IntRange(0, 4).Draw(t, "free"), Offered: rapid.IntRange(0, 4).Draw(t, "offered"), MaxOffered: rapid.IntRange(0, 4).Draw(t, "most"),
 		}
 		f := retry.Failure{
 			Code: fault.Code(rapid.IntRange(1, int(fault.Rejected)).Draw(t, "code")), Chosen: rapid.Bool().Draw(t, "chosen"),
