--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -183,7 +183,7 @@
 	}
 	f := retry.Failure{Chosen: in != nil}
 	if e != nil {
-		f.Code, f.Run = e.Code, e.Run
+		f.Code, f.Execution = e.Code, e.Run
 	}
 	switch retry.Decide(n.retryState(c), f) {
 	case retry.RetryUncharged:
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -35,7 +35,7 @@
 type Failure struct {
 	Code fault.Code
 	// Run tells whether the call may have run.
-	Run fault.Run
+	Execution fault.Run
 	// Chosen tells whether an instance was chosen for the attempt.
 	Chosen bool
 }
@@ -61,11 +61,11 @@
 	switch {
 	case !c.Replayable:
 		return GiveUp
-	case f.Code != fault.None && f.Run != fault.RunNo && !c.Idempotent:
+	case f.Code != fault.None && f.Execution != fault.RunNo && !c.Idempotent:
 		return GiveUp
 	case f.Code != fault.None && !helps(c, f):
 		return GiveUp
-	case f.Code == fault.BackendLost && f.Run != fault.RunNo && c.Terminations > maxEnds:
+	case f.Code == fault.BackendLost && f.Execution != fault.RunNo && c.Terminations > maxEnds:
 		return GiveUp
 	case neverOffered(f) && c.Uncharged < maxFree:
 		return RetryUncharged
@@ -98,7 +98,7 @@
 // neverOffered tells whether a failed attempt certainly ended before any backend
 // server, so that trying another makes no load for any.
 func neverOffered(f Failure) bool {
-	if f.Code == fault.None || f.Run != fault.RunNo {
+	if f.Code == fault.None || f.Execution != fault.RunNo {
 		return false
 	}
 	switch f.Code {
