--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -279,7 +279,7 @@
 
 func (n *node) mayRetry(c *call, in *route.Instance, a answer) bool {
 	p := n.p
-	switch retry.Decide(c.state, retry.Failure{Code: a.code, Execution: a.run, Chosen: in != nil}) {
+	switch retry.Decide(c.state, retry.Failure{Code: a.code, Execution: a.run, InstanceChosen: in != nil}) {
 	case retry.RetryUncharged:
 		c.state.Uncharged++
 		return true
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -181,7 +181,7 @@
 	if c.policy.Mode != admission.ModeFull {
 		return c.replayable() && c.attempts <= baselineRetries
 	}
-	f := retry.Failure{Chosen: in != nil}
+	f := retry.Failure{InstanceChosen: in != nil}
 	if e != nil {
 		f.Code, f.Execution = e.Code, e.Run
 	}
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -37,7 +37,7 @@
 	// Run tells whether the call may have run.
 	Execution fault.Run
 	// Chosen tells whether an instance was chosen for the attempt.
-	Chosen bool
+	InstanceChosen bool
 }
 
 // Verdict is what to do after a failed attempt.
@@ -85,9 +85,9 @@
 func helps(c Call, f Failure) bool {
 	switch f.Code {
 	case fault.Overload, fault.QueueTimeout:
-		return c.Attempts == 1 && f.Chosen
+		return c.Attempts == 1 && f.InstanceChosen
 	case fault.NoBackend:
-		return f.Chosen
+		return f.InstanceChosen
 	case fault.PeerLost, fault.PeerSilent, fault.BackendLost, fault.Draining, fault.Starting, fault.Protocol, fault.Rejected:
 		return true
 	default:
@@ -116,7 +116,7 @@
 	if c.MaxOffered == 0 || c.Offered < c.MaxOffered {
 		return true
 	}
-	return f.Code == fault.Rejected && f.Chosen
+	return f.Code == fault.Rejected && f.InstanceChosen
 }
 
 const (
