--- a/internal/fleetmodel/play.go
+++ b/internal/fleetmodel/play.go
@@ -221,7 +221,7 @@
 	r.left--
 	pause := hastyPause
 	if !r.hasty {
-		pause = retry.ComeBackInTime(a.level, r.kind.Objective, p.rng.Float64())
+		pause = retry.RetryAfterWithin(a.level, r.kind.Objective, p.rng.Float64())
 	}
 	p.after(pause, func() { p.ask(r) })
 }
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -138,7 +138,7 @@
 // back with another place in the order of shedding, while an answer is still worth
 // most to its caller. The load outlasts the longest time that a caller would wait, so
 // that a longer one only makes its answer late.
-func ComeBackInTime(l rank.Level, objective time.Duration, draw float64) time.Duration {
+func RetryAfterWithin(l rank.Level, objective time.Duration, draw float64) time.Duration {
 	return spread(min(mean(l), time.Duration(comeBackShare*float64(objective))), draw)
 }
 
