--- a/internal/node/comeback_test.go
+++ b/internal/node/comeback_test.go
@@ -24,7 +24,7 @@
 				back := c.refusal(fault.Overload, "", level).RetryAfter
 				g.Expect(back).To(gomega.BeNumerically(">", 0))
 				g.Expect(back).To(gomega.BeNumerically("<=", objective/2))
-				g.Expect(back).To(gomega.BeNumerically("<=", 3*retry.ComeBackMax/2))
+				g.Expect(back).To(gomega.BeNumerically("<=", 3*retry.MaxRetryAfter/2))
 			}
 		}
 		away := c.refusal(fault.NoBackend, "", rank.Count/2).RetryAfter
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -123,7 +123,7 @@
 	// comeBackMin is the shortest time given to a caller to come back.
 	comeBackMin = 200 * time.Millisecond
 	// ComeBackMax is the longest mean time, at a level that sheds everything.
-	ComeBackMax = 4 * time.Second
+	MaxRetryAfter = 4 * time.Second
 	// comeBackShare is the mean share of the objective after which a caller that
 	// was turned away for load may come back: at most half of it is gone then.
 	comeBackShare = 1.0 / 3
@@ -144,7 +144,7 @@
 
 func mean(l rank.Level) time.Duration {
 	shed := float64(l) / rank.Count
-	return comeBackMin + time.Duration(shed*float64(ComeBackMax-comeBackMin))
+	return comeBackMin + time.Duration(shed*float64(MaxRetryAfter-comeBackMin))
 }
 
 func spread(mean time.Duration, draw float64) time.Duration {
