--- a/internal/node/call.go
+++ b/internal/node/call.go
@@ -139,7 +139,7 @@
 	case fault.Overload, fault.QueueTimeout, fault.ShareSpent, fault.Rejected:
 		e.RetryAfter = retry.RetryAfterWithin(l, c.policy.ObjectiveWithin, rand.Float64())
 	case fault.NoBackend, fault.Draining, fault.Starting:
-		e.RetryAfter = retry.ComeBack(l, rand.Float64())
+		e.RetryAfter = retry.RetryAfter(l, rand.Float64())
 	}
 	return e
 }
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -172,7 +172,7 @@
 	}
 	l := m.entries[r.entry].Level(modelNames[r.kind], m.now)
 	if !l.Admits(r.rank, 0) {
-		m.refuse(r, retry.ComeBack(l, 0.5))
+		m.refuse(r, retry.RetryAfter(l, 0.5))
 		return
 	}
 	m.after(m.draw(modelAbove[r.kind]), func() { m.call(r) })
--- a/internal/node/once.go
+++ b/internal/node/once.go
@@ -51,7 +51,7 @@
 	default:
 		ferr := fault.New(res.Verdict.Code(), verdictText[res.Verdict])
 		if res.Verdict == claims.Running {
-			ferr.RetryAfter = retry.ComeBack(0, rand.Float64())
+			ferr.RetryAfter = retry.RetryAfter(0, rand.Float64())
 		}
 		if res.Verdict == claims.Running || res.Verdict == claims.Unknown {
 			ferr.Run = fault.RunUnknown
@@ -108,7 +108,7 @@
 	}
 	// Nothing was sent to a backend server on this token.
 	e := fault.New(ferr.Code, "the key could not be claimed: "+ferr.Detail)
-	e.RetryAfter = retry.ComeBack(0, rand.Float64())
+	e.RetryAfter = retry.RetryAfter(0, rand.Float64())
 	return res, e
 }
 
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -132,7 +132,7 @@
 // ComeBack returns when a refused caller may come back: the longer the more is being
 // shed at the level, spread over half to one and a half of that time so that callers
 // do not return together. Draw is uniform in [0, 1).
-func ComeBack(l rank.Level, draw float64) time.Duration { return spread(mean(l), draw) }
+func RetryAfter(l rank.Level, draw float64) time.Duration { return spread(mean(l), draw) }
 
 // ComeBackInTime is ComeBack for a request that was turned away for load: it comes
 // back with another place in the order of shedding, while an answer is still worth
