--- a/internal/node/edge.go
+++ b/internal/node/edge.go
@@ -97,7 +97,7 @@
 	if n.stopping() && n.clock() > n.entryUntil() {
 		return c, c.refusal(fault.Draining, "this node is stopping", 0)
 	}
-	c.rank = rank.Of(c.policy.Class, c.id)
+	c.rank = rank.ForRequest(c.policy.Class, c.id)
 	c.scope = scope.New(c.started.Add(allowed))
 	c.pool = &budget.Pool{}
 	c.pool.Reset(c.policy.RetryBudget)
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -132,7 +132,7 @@
 		allowed = min(allowed, d)
 	}
 	c.root = c.target
-	c.rank = rank.Of(c.policy.Class, c.id)
+	c.rank = rank.ForRequest(c.policy.Class, c.id)
 	c.scope = scope.New(c.started.Add(allowed))
 	c.pool = &budget.Pool{}
 	c.pool.Reset(c.policy.RetryBudget)
--- a/rank/rank.go
+++ b/rank/rank.go
@@ -55,7 +55,7 @@
 type Rank uint16
 
 // Of returns the rank of a request of class c with the given id.
-func Of(c Class, requestID string) Rank {
+func ForRequest(c Class, requestID string) Rank {
 	cohort := xxhash.Sum64String(requestID) >> (64 - CohortBits)
 	return Make(c, uint8(cohort))
 }
