--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -47,7 +47,7 @@
 }
 
 // Write writes the histograms as text, in seconds. Errors of w are the reader's loss.
-func (t *Table) Write(w io.Writer) {
+func (t *Table) WriteText(w io.Writer) {
 	t.m.Range(func(k, v any) bool {
 		labelled, h := k.(key), v.(*histogram)
 		labels := fmt.Sprintf("class=%q,outcome=%q", labelled.class, labelled.outcome)
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -410,7 +410,7 @@
 }
 
 // WriteLatencies writes the histograms of the requests of callers as text.
-func (n *Node) WriteLatencies(w io.Writer) { n.latencies.Write(w) }
+func (n *Node) WriteLatencies(w io.Writer) { n.latencies.WriteText(w) }
 
 // serveVars shows expvar's variables and this node's, under one name, so that
 // several nodes can live in one test process.
