--- a/internal/node/gate.go
+++ b/internal/node/gate.go
@@ -65,7 +65,7 @@
 	if !s.Notify(canceled) {
 		return g.leaveQueue(w, s.Err())
 	}
-	defer s.Silence()
+	defer s.StopNotify()
 	t := time.NewTimer(giveUp - g.clock())
 	defer t.Stop()
 	select {
--- a/internal/scope/scope.go
+++ b/internal/scope/scope.go
@@ -123,7 +123,7 @@
 }
 
 // Silence ends Notify.
-func (s *Scope) Silence() {
+func (s *Scope) StopNotify() {
 	s.mu.Lock()
 	s.wake = nil
 	s.mu.Unlock()
