--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -130,7 +130,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !s.Bind(cn.Conn) {
+	if !s.InterruptOnCancel(cn.Conn) {
 		c.put(cn)
 		return nil, fault.New(s.Err(), "given up before it was sent")
 	}
--- a/internal/scope/scope.go
+++ b/internal/scope/scope.go
@@ -93,7 +93,7 @@
 }
 
 // Bind makes Cancel interrupt conn; false if the scope has already ended.
-func (s *Scope) Bind(conn net.Conn) bool {
+func (s *Scope) InterruptOnCancel(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.code != fault.None {
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -125,7 +125,7 @@
 		return nil, fault.Wrap(fault.PeerLost, err, "cannot connect to "+c.addr)
 	}
 	conn.happen(connTake)
-	if !s.Bind(conn.Conn) {
+	if !s.InterruptOnCancel(conn.Conn) {
 		conn.happen(connWhole)
 		c.put(conn)
 		return nil, fault.New(s.Err(), "given up before it was sent")
