--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -101,7 +101,7 @@
 	if r.conn == nil {
 		return
 	}
-	r.s.Unbind()
+	r.s.StopInterrupt()
 	if r.Whole() && !r.Response.Close && r.s.Err() == fault.None {
 		_ = r.conn.SetDeadline(time.Time{})
 		r.conn.keep = keepAlive(r.Header.Get("Keep-Alive"))
@@ -136,7 +136,7 @@
 	}
 	resp, err := c.exchange(s, cn, t, req, mine)
 	if err != nil {
-		s.Unbind()
+		s.StopInterrupt()
 		c.lost.Add(1)
 		c.discard(cn)
 		return nil, err
--- a/internal/scope/scope.go
+++ b/internal/scope/scope.go
@@ -104,7 +104,7 @@
 }
 
 // Unbind ends Bind. After it returns, Cancel does not touch the connection.
-func (s *Scope) Unbind() {
+func (s *Scope) StopInterrupt() {
 	s.mu.Lock()
 	s.conn = nil
 	s.mu.Unlock()
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -105,7 +105,7 @@
 	if a.conn == nil {
 		return
 	}
-	a.s.Unbind()
+	a.s.StopInterrupt()
 	if a.body.done && len(a.body.rest) == 0 && a.body.err == nil && a.s.Err() == fault.None {
 		a.conn.happen(connWhole)
 		a.c.put(a.conn)
@@ -132,7 +132,7 @@
 	}
 	a, ferr := c.exchange(s, conn, req, whole, stream)
 	if ferr != nil {
-		s.Unbind()
+		s.StopInterrupt()
 		conn.happen(endOf(ferr))
 		return nil, ferr
 	}
