--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -13,7 +13,7 @@
 )
 
 // model holds what a guard must keep to.
-type model struct {
+type limiterModel struct {
 	t       *rapid.T
 	g       *Limiter
 	now     time.Duration
@@ -26,7 +26,7 @@
 	fail     func(format string, args ...any)
 }
 
-func (m *model) arrive(class rank.Class, cohort uint8, deadline time.Duration) {
+func (m *limiterModel) arrive(class rank.Class, cohort uint8, deadline time.Duration) {
 	w := &Waiter{Request: Request{Rank: rank.Make(class, cohort), Deadline: m.now + deadline}}
 	d := m.g.Arrive(m.now, w)
 	switch d.Verdict {
@@ -52,7 +52,7 @@
 
 // checkRefusal checks that nothing of a lower class waits for the slots while
 // a request is refused because the queue is full.
-func (m *model) checkRefusal(w *Waiter, code fault.Code) {
+func (m *limiterModel) checkRefusal(w *Waiter, code fault.Code) {
 	if code != fault.Overload || !m.g.Level().Admits(w.Request.Rank, 0) {
 		return
 	}
@@ -63,7 +63,7 @@
 	}
 }
 
-func (m *model) done(took time.Duration) {
+func (m *limiterModel) done(took time.Duration) {
 	if m.running == 0 {
 		return
 	}
@@ -83,14 +83,14 @@
 }
 
 // reverse puts the last waiter of the queue first.
-func (m *model) reverse() {
+func (m *limiterModel) reverse() {
 	q := m.g.queue
 	if n := len(q); n > 1 {
 		q.Swap(0, n-1)
 	}
 }
 
-func (m *model) end(next *Waiter, late []*Waiter) {
+func (m *limiterModel) end(next *Waiter, late []*Waiter) {
 	for _, w := range late {
 		delete(m.waiting, w)
 		m.refused[w] = true
@@ -113,7 +113,7 @@
 	m.running++
 }
 
-func (m *model) check() {
+func (m *limiterModel) check() {
 	if m.running > m.slots || m.running != m.g.InFlight() {
 		m.fail("%d run in %d slots, the guard counts %d", m.running, m.slots, m.g.InFlight())
 	}
@@ -131,16 +131,16 @@
 }
 
 // TestGuardKeepsItsPromises drives a guard with random traffic.
-func TestGuardKeepsItsPromises(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { driveGuard(t, false, t.Fatalf) })
+func TestLimiterInvariants(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) { driveLimiter(t, false, t.Fatalf) })
 }
 
 // TestWrongOrderIsFound shows that the checks find a queue in the wrong order.
-func TestWrongOrderIsFound(t *testing.T) {
+func TestInvariantsDetectWrongQueueOrder(t *testing.T) {
 	found := false
 	rapid.Check(t, func(t *rapid.T) {
 		if !found {
-			driveGuard(t, true, func(string, ...any) { found = true })
+			driveLimiter(t, true, func(string, ...any) { found = true })
 		}
 	})
 	if !found {
@@ -148,8 +148,8 @@
 	}
 }
 
-func driveGuard(t *rapid.T, reversed bool, fail func(string, ...any)) {
-	m := &model{
+func driveLimiter(t *rapid.T, reversed bool, fail func(string, ...any)) {
+	m := &limiterModel{
 		t: t, slots: rapid.IntRange(1, 8).Draw(t, "slots"), waiting: map[*Waiter]bool{}, refused: map[*Waiter]bool{},
 		reversed: reversed, fail: fail,
 	}
@@ -173,7 +173,7 @@
 }
 
 // server is a fake backend server under an open load.
-type server struct {
+type fakeServer struct {
 	g       *Limiter
 	rng     *rand.Rand
 	service time.Duration
@@ -184,7 +184,7 @@
 	asked, served, askedTop, servedTop int
 }
 
-func (s *server) start(w *Waiter) {
+func (s *fakeServer) start(w *Waiter) {
 	delete(s.waiting, w)
 	s.busy = append(s.busy, s.now+time.Duration(float64(s.service)*(0.5+s.rng.Float64())))
 	s.served++
@@ -193,7 +193,7 @@
 	}
 }
 
-func (s *server) finish() {
+func (s *fakeServer) finish() {
 	still := s.busy[:0:0]
 	ended := 0
 	for _, end := range s.busy {
@@ -220,7 +220,7 @@
 	}
 }
 
-func (s *server) arrive() {
+func (s *fakeServer) arrive() {
 	s.asked++
 	class := rank.Class(s.rng.IntN(3))
 	if s.rng.Float64() < 0.1 {
@@ -240,7 +240,7 @@
 
 // drive loads the server for a span with a demand in times of its capacity and
 // returns the share of the capacity used and of the protected class served.
-func (s *server) drive(span time.Duration, demand float64) (used, protected float64) {
+func (s *fakeServer) drive(span time.Duration, demand float64) (used, protected float64) {
 	s.asked, s.served, s.askedTop, s.servedTop = 0, 0, 0, 0
 	perSecond := float64(s.g.opt.Slots) / s.service.Seconds()
 	for end := s.now + span; s.now < end; s.now += time.Millisecond {
@@ -253,10 +253,10 @@
 	return float64(s.served) / min(capacity, float64(s.asked)), float64(s.servedTop) / float64(max(1, s.askedTop))
 }
 
-func TestLevelFollowsTheLoad(t *testing.T) {
+func TestLevelTracksLoad(t *testing.T) {
 	g := gomega.NewWithT(t)
 	guard := New(Options{Slots: 16, QueueMax: 32, QueueWait: time.Second, QueueTarget: 3 * time.Millisecond, Window: 100 * time.Millisecond})
-	s := &server{g: guard, rng: rand.New(rand.NewPCG(1, 2)), service: 20 * time.Millisecond, waiting: map[*Waiter]bool{}}
+	s := &fakeServer{g: guard, rng: rand.New(rand.NewPCG(1, 2)), service: 20 * time.Millisecond, waiting: map[*Waiter]bool{}}
 	s.drive(5*time.Second, 0.6)
 	g.Expect(guard.Level()).To(gomega.BeZero())
 	used, protected := s.drive(5*time.Second, 4)
--- a/admission/guard.go
+++ b/admission/guard.go
@@ -74,13 +74,13 @@
 	// Wake is where the shell waits; the guard never touches it.
 	Wake chan fault.Code
 
-	since  time.Duration
-	giveUp time.Duration
-	index  int
+	enqueuedAt    time.Duration
+	queueDeadline time.Duration
+	index         int
 }
 
 // GiveUp returns when the waiter's time in the queue is over.
-func (w *Waiter) QueueDeadline() time.Duration { return w.giveUp }
+func (w *Waiter) QueueDeadline() time.Duration { return w.queueDeadline }
 
 // Verdict is the answer to an arrival.
 type Verdict uint8
@@ -109,104 +109,104 @@
 // concurrent use: the shell holds one lock around each call, which takes
 // well under a microsecond.
 type Limiter struct {
-	opt      Options
-	limit    float64
-	inflight int
-	queue    waitQueue
-	ctl      controller
-	least    [MaxKinds]quantile
-	typical  [MaxKinds]quantile
-	search   limitSearch
+	opt                Options
+	limit              float64
+	inflight           int
+	queue              waitQueue
+	ctl                levelController
+	minServiceTime     [MaxKinds]quantileEstimate
+	typicalServiceTime [MaxKinds]quantileEstimate
+	search             limitSearch
 	// service is a moving mean of the time in the backend server.
-	service time.Duration
+	meanServiceTime time.Duration
 }
 
 // New returns a guard with all slots free.
 func New(o Options) *Limiter {
-	g := &Limiter{}
-	g.SetOptions(o)
-	g.limit = float64(g.opt.Slots)
-	return g
+	l := &Limiter{}
+	l.SetOptions(o)
+	l.limit = float64(l.opt.Slots)
+	return l
 }
 
 // SetOptions takes over new settings; requests in flight are kept.
-func (g *Limiter) SetOptions(o Options) {
+func (l *Limiter) SetOptions(o Options) {
 	o.Slots = max(o.Slots, 1)
 	o.Window = max(o.Window, time.Millisecond)
-	grown := o.Slots > g.opt.Slots
-	g.opt = o
-	if grown || g.limit > float64(o.Slots) {
-		g.limit = float64(o.Slots)
+	grown := o.Slots > l.opt.Slots
+	l.opt = o
+	if grown || l.limit > float64(o.Slots) {
+		l.limit = float64(o.Slots)
 	}
 }
 
 // Level returns the admission level in force.
-func (g *Limiter) Level() rank.Level { return g.ctl.level }
+func (l *Limiter) Level() rank.Level { return l.ctl.level }
 
 // Limit returns the concurrency limit in force.
-func (g *Limiter) Limit() int { return int(g.limit) }
+func (l *Limiter) Limit() int { return int(l.limit) }
 
 // InFlight returns the number of slots taken.
-func (g *Limiter) InFlight() int { return g.inflight }
+func (l *Limiter) InFlight() int { return l.inflight }
 
 // Queued returns the number of waiting requests.
-func (g *Limiter) Queued() int { return len(g.queue) }
+func (l *Limiter) Queued() int { return len(l.queue) }
 
 // Arrive decides over a request. If the verdict is Wait, the guard keeps w
 // until it comes back from Done or Expire, or as Evicted.
-func (g *Limiter) Arrive(now time.Duration, w *Waiter) Decision {
-	g.Tick(now)
+func (l *Limiter) Arrive(now time.Duration, w *Waiter) Decision {
+	l.Tick(now)
 	r := w.Request
-	if g.opt.Mode == ModeOff {
-		g.inflight++
+	if l.opt.Mode == ModeOff {
+		l.inflight++
 		return Decision{Verdict: Admitted}
 	}
 	if r.Deadline <= now {
 		return Decision{Code: fault.Deadline}
 	}
-	if g.opt.Mode == ModeFull {
-		g.ctl.arrive(r.Rank)
-		if !g.ctl.level.Admits(r.Rank, r.Depth) {
+	if l.opt.Mode == ModeFull {
+		l.ctl.recordArrival(r.Rank)
+		if !l.ctl.level.Admits(r.Rank, r.Depth) {
 			return Decision{Code: fault.Overload}
 		}
-		if now+g.need(r) > r.Deadline {
+		if now+l.requiredTime(r) > r.Deadline {
 			return Decision{Code: fault.Deadline}
 		}
 	}
-	if g.inflight < int(g.limit) && len(g.queue) == 0 {
-		g.ctl.waited(0)
-		g.take(now)
+	if l.inflight < int(l.limit) && len(l.queue) == 0 {
+		l.ctl.recordWait(0)
+		l.acquireSlot(now)
 		return Decision{Verdict: Admitted}
 	}
-	return g.enqueue(now, w)
+	return l.enqueue(now, w)
 }
 
-func (g *Limiter) enqueue(now time.Duration, w *Waiter) Decision {
+func (l *Limiter) enqueue(now time.Duration, w *Waiter) Decision {
 	var evicted *Waiter
-	if len(g.queue) >= g.opt.QueueMax {
-		g.ctl.overflow()
-		evicted = g.queue.lowest()
+	if len(l.queue) >= l.opt.QueueMax {
+		l.ctl.recordOverflow()
+		evicted = l.queue.last()
 		if evicted == nil || !w.outranks(evicted) {
 			return Decision{Code: fault.Overload}
 		}
-		g.queue.remove(evicted)
+		l.queue.remove(evicted)
 	}
-	w.since = now
-	w.giveUp = min(now+g.maxWait(), w.Request.Deadline-g.need(w.Request))
-	g.queue.push(w)
+	w.enqueuedAt = now
+	w.queueDeadline = min(now+l.maxWait(), w.Request.Deadline-l.requiredTime(w.Request))
+	l.queue.push(w)
 	return Decision{Verdict: Enqueued, Evicted: evicted}
 }
 
 // Expire takes a waiter out of the queue because its time is over or its
 // caller left. It reports false if the waiter has already been admitted or
 // evicted, in which case that verdict stands.
-func (g *Limiter) RemoveWaiter(now time.Duration, w *Waiter) bool {
-	if !g.queue.holds(w) {
+func (l *Limiter) RemoveWaiter(now time.Duration, w *Waiter) bool {
+	if !l.queue.contains(w) {
 		return false
 	}
-	g.queue.remove(w)
-	g.ctl.waited(now - w.since)
-	g.ctl.overflow()
+	l.queue.remove(w)
+	l.ctl.recordWait(now - w.enqueuedAt)
+	l.ctl.recordOverflow()
 	return true
 }
 
@@ -226,42 +226,42 @@
 // Done frees the slot of a request and returns the waiter that takes it, or
 // nil. Waiters that can no longer finish in time are appended to late; they
 // must be refused with fault.Deadline.
-func (g *Limiter) Finish(now time.Duration, o Outcome, late []*Waiter) (*Waiter, []*Waiter) {
-	g.ctl.account(now, g.inflight, g.limit)
-	full := g.inflight >= int(g.limit) && len(g.queue) > 0
-	g.inflight--
-	g.ctl.done()
-	g.learn(o)
+func (l *Limiter) Finish(now time.Duration, o Outcome, late []*Waiter) (*Waiter, []*Waiter) {
+	l.ctl.updateUtilization(now, l.inflight, l.limit)
+	full := l.inflight >= int(l.limit) && len(l.queue) > 0
+	l.inflight--
+	l.ctl.recordFinish()
+	l.recordServiceTime(o)
 	if full && o.ServiceTime > 0 && !o.Expired {
-		g.timed(now, o)
+		l.updateLimitSearch(now, o)
 	}
-	if o.Pushback && float64(g.inflight+1) >= pushbackFrom*float64(g.opt.Slots) {
-		g.ctl.pushback = true
+	if o.Pushback && float64(l.inflight+1) >= pushbackMinUtilization*float64(l.opt.Slots) {
+		l.ctl.pushback = true
 	}
-	g.Tick(now)
-	return g.next(now, late)
+	l.Tick(now)
+	return l.admitWaiter(now, late)
 }
 
 // timed takes in a request that ran while all slots were taken, and follows the
 // search to the next limit at once.
-func (g *Limiter) timed(now time.Duration, o Outcome) {
-	before := g.search.ceiling(g.opt.Slots)
-	g.search.finish(now, o.Kind, o.ServiceTime, g.opt.Slots)
-	if after := g.search.ceiling(g.opt.Slots); g.limit >= before || g.limit > after {
-		g.limit = after
+func (l *Limiter) updateLimitSearch(now time.Duration, o Outcome) {
+	before := l.search.maxLimit(l.opt.Slots)
+	l.search.recordFinish(now, o.Kind, o.ServiceTime, l.opt.Slots)
+	if after := l.search.maxLimit(l.opt.Slots); l.limit >= before || l.limit > after {
+		l.limit = after
 	}
 }
 
 // next admits the best waiter that can still finish, if a slot is free.
-func (g *Limiter) next(now time.Duration, late []*Waiter) (*Waiter, []*Waiter) {
-	for g.inflight < int(g.limit) && len(g.queue) > 0 {
-		w := g.queue.pop()
-		g.ctl.waited(now - w.since)
-		if now+g.need(w.Request) > w.Request.Deadline {
+func (l *Limiter) admitWaiter(now time.Duration, late []*Waiter) (*Waiter, []*Waiter) {
+	for l.inflight < int(l.limit) && len(l.queue) > 0 {
+		w := l.queue.pop()
+		l.ctl.recordWait(now - w.enqueuedAt)
+		if now+l.requiredTime(w.Request) > w.Request.Deadline {
 			late = append(late, w)
 			continue
 		}
-		g.take(now)
+		l.acquireSlot(now)
 		return w, late
 	}
 	return nil, late
@@ -269,94 +269,94 @@
 
 // Next admits one more waiter after the limit has grown; the shell calls it
 // until it returns nil.
-func (g *Limiter) AdmitNext(now time.Duration, late []*Waiter) (*Waiter, []*Waiter) {
-	return g.next(now, late)
+func (l *Limiter) AdmitNext(now time.Duration, late []*Waiter) (*Waiter, []*Waiter) {
+	return l.admitWaiter(now, late)
 }
 
 // learn takes in how long a request took. One that was given up tells only
 // that its kind may need longer.
-func (g *Limiter) learn(o Outcome) {
+func (l *Limiter) recordServiceTime(o Outcome) {
 	if o.ServiceTime <= 0 {
 		return
 	}
 	i := o.Kind % MaxKinds
 	if o.Expired {
-		if o.ServiceTime > g.typical[i].value {
-			g.typical[i].observe(o.ServiceTime, typicalQuantile)
+		if o.ServiceTime > l.typicalServiceTime[i].value {
+			l.typicalServiceTime[i].observe(o.ServiceTime, typicalServiceQuantile)
 		}
 		return
 	}
-	g.least[i].observe(o.ServiceTime, leastQuantile)
-	g.typical[i].observe(o.ServiceTime, typicalQuantile)
-	g.service += (o.ServiceTime - g.service) / serviceKeep
+	l.minServiceTime[i].observe(o.ServiceTime, minServiceQuantile)
+	l.typicalServiceTime[i].observe(o.ServiceTime, typicalServiceQuantile)
+	l.meanServiceTime += (o.ServiceTime - l.meanServiceTime) / meanServiceWeight
 }
 
 const (
-	leastQuantile   = 0.1
-	typicalQuantile = 0.75
+	minServiceQuantile     = 0.1
+	typicalServiceQuantile = 0.75
 	// serviceKeep is the weight of the old mean service time.
-	serviceKeep = 32
+	meanServiceWeight = 32
 	// targetFactor is the mean wait, in service times, at which the slots are
 	// kept busy by chance arrivals without a queue that only adds latency.
-	targetFactor = 0.75
+	targetWaitFactor = 0.75
 	// waitFactor is the longest wait in service times.
-	waitFactor = 4
+	maxWaitFactor = 4
 	// minMaxWait is the least that the longest wait is shortened to.
 	minMaxWait = 50 * time.Millisecond
 )
 
 // target is the mean wait above which the level rises.
-func (g *Limiter) target() time.Duration {
-	return max(g.opt.QueueTarget, time.Duration(targetFactor*float64(g.service)))
+func (l *Limiter) targetWait() time.Duration {
+	return max(l.opt.QueueTarget, time.Duration(targetWaitFactor*float64(l.meanServiceTime)))
 }
 
 // maxWait is the longest that a request may wait.
-func (g *Limiter) maxWait() time.Duration {
-	if g.opt.Mode != ModeFull || g.service == 0 {
-		return g.opt.QueueWait
+func (l *Limiter) maxWait() time.Duration {
+	if l.opt.Mode != ModeFull || l.meanServiceTime == 0 {
+		return l.opt.QueueWait
 	}
-	return min(g.opt.QueueWait, max(minMaxWait, waitFactor*g.service))
+	return min(l.opt.QueueWait, max(minMaxWait, maxWaitFactor*l.meanServiceTime))
 }
 
-func (g *Limiter) take(now time.Duration) {
-	g.ctl.account(now, g.inflight, g.limit)
-	g.inflight++
+func (l *Limiter) acquireSlot(now time.Duration) {
+	l.ctl.updateUtilization(now, l.inflight, l.limit)
+	l.inflight++
 }
 
 // need is the time that a request must have left to be worth running: a low
 // quantile of the service time of its kind, below which it will almost surely
 // not finish, or, where others wait for the slot, a high one.
-func (g *Limiter) need(r Request) time.Duration {
-	if g.opt.Mode != ModeFull {
+func (l *Limiter) requiredTime(r Request) time.Duration {
+	if l.opt.Mode != ModeFull {
 		return 0
 	}
 	i := r.Kind % MaxKinds
-	if r.DownstreamOverloaded || len(g.queue) > 0 {
-		return g.typical[i].value
+	if r.DownstreamOverloaded || len(l.queue) > 0 {
+		return l.typicalServiceTime[i].value
 	}
-	return g.least[i].value
+	return l.minServiceTime[i].value
 }
 
 // Tick closes the control window if it has passed. The guard calls it on
 // every event; the shell calls it when there is no traffic.
-func (g *Limiter) Tick(now time.Duration) {
-	if g.opt.Mode != ModeFull || !g.ctl.due(now, g.opt.Window) {
+func (l *Limiter) Tick(now time.Duration) {
+	if l.opt.Mode != ModeFull || !l.ctl.windowComplete(now, l.opt.Window) {
 		return
 	}
-	g.ctl.account(now, g.inflight, g.limit)
-	g.adjustLimit()
-	for i := range g.typical {
-		g.least[i].fade()
-		g.typical[i].fade()
+	l.ctl.updateUtilization(now, l.inflight, l.limit)
+	l.adjustLimit()
+	for i := range l.typicalServiceTime {
+		l.minServiceTime[i].decay()
+		l.typicalServiceTime[i].decay()
 	}
-	g.ctl.close(now, g.opt.Window, g.target(), g.maxWait())
+	l.ctl.closeWindow(now, l.opt.Window, l.targetWait(), l.maxWait())
 }
 
 // pushbackFrom is the share of the declared slots that must be taken for a
 // rejection to speak of overload. A server that turns requests away with most
 // of its slots free has another fault, which a lower limit does not mend: it
 // would only turn away what the server still takes.
-const pushbackFrom = 0.5
+const pushbackMinUtilization = 0.5
 
 // limitDecrease is the factor by which the limit falls in a window in which
 // the backend server pushed back.
@@ -365,12 +365,12 @@
 // adjustLimit moves the concurrency limit: down when the backend server says
 // that it is overloaded, up by one slot a window until what the search has
 // found, at most the declared slots.
-func (g *Limiter) adjustLimit() {
-	slots := float64(g.opt.Slots)
-	if g.ctl.pushback {
-		g.search.interrupt()
-		g.limit = max(1, g.limit*limitDecrease)
+func (l *Limiter) adjustLimit() {
+	slots := float64(l.opt.Slots)
+	if l.ctl.pushback {
+		l.search.abortTrial()
+		l.limit = max(1, l.limit*limitDecrease)
 		return
 	}
-	g.limit = min(g.search.ceiling(g.opt.Slots), g.limit+max(1, slots/16))
+	l.limit = min(l.search.maxLimit(l.opt.Slots), l.limit+max(1, slots/16))
 }
--- a/admission/pushback_test.go
+++ b/admission/pushback_test.go
@@ -11,7 +11,7 @@
 
 // pushBack runs windows in which the backend server turns away half of the
 // requests, with so many slots taken at most, and returns the lowest limit.
-func pushBack(taken int) int {
+func lowestLimitUnderPushback(taken int) int {
 	const slots = 40
 	g := New(Options{Slots: slots, QueueMax: 8, QueueWait: time.Second, QueueTarget: 3 * time.Millisecond, Window: 100 * time.Millisecond})
 	lowest := g.Limit()
@@ -34,11 +34,11 @@
 // TestRejectionsWithFreeSlotsAreNoOverload replays a server with a fault that
 // turns away half of its requests whatever its load; lowering the limit would
 // only turn away what it still takes.
-func TestRejectionsWithFreeSlotsAreNoOverload(t *testing.T) {
-	gomega.NewWithT(t).Expect(pushBack(8)).To(gomega.Equal(40))
+func TestPushbackWithFreeSlotsKeepsLimit(t *testing.T) {
+	gomega.NewWithT(t).Expect(lowestLimitUnderPushback(8)).To(gomega.Equal(40))
 }
 
 // TestRejectionsUnderLoadLowerTheLimit: the same with the slots taken.
-func TestRejectionsUnderLoadLowerTheLimit(t *testing.T) {
-	gomega.NewWithT(t).Expect(pushBack(40)).To(gomega.BeNumerically("<", 30))
+func TestPushbackUnderLoadLowersLimit(t *testing.T) {
+	gomega.NewWithT(t).Expect(lowestLimitUnderPushback(40)).To(gomega.BeNumerically("<", 30))
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -12,7 +12,7 @@
 func (q waitQueue) Len() int { return len(q) }
 
 // Less implements heap.Interface.
-func (q waitQueue) Less(i, j int) bool { return q[i].before(q[j]) }
+func (q waitQueue) Less(i, j int) bool { return q[i].servedBefore(q[j]) }
 
 // Swap implements heap.Interface.
 func (q waitQueue) Swap(i, j int) {
@@ -41,7 +41,7 @@
 
 // before orders waiters: the higher class first, then the one for which more
 // work was done, then the earlier deadline.
-func (w *Waiter) before(o *Waiter) bool {
+func (w *Waiter) servedBefore(o *Waiter) bool {
 	if w.outranks(o) || o.outranks(w) {
 		return w.outranks(o)
 	}
@@ -63,16 +63,16 @@
 
 func (q *waitQueue) remove(w *Waiter) { heap.Remove(q, w.index) }
 
-func (q waitQueue) holds(w *Waiter) bool {
+func (q waitQueue) contains(w *Waiter) bool {
 	return w.index >= 0 && w.index < len(q) && q[w.index] == w
 }
 
 // lowest returns the waiter that would be served last. The queue is short,
 // so a scan is cheaper than a second heap.
-func (q waitQueue) lowest() *Waiter {
+func (q waitQueue) last() *Waiter {
 	var low *Waiter
 	for _, w := range q {
-		if low == nil || low.before(w) {
+		if low == nil || low.servedBefore(w) {
 			low = w
 		}
 	}
--- a/admission/search.go
+++ b/admission/search.go
@@ -5,24 +5,24 @@
 const (
 	// searchSteps divides the declared slots: the limit is searched among the
 	// whole and what is left when one to maxDown steps are taken away.
-	searchSteps = 16
-	maxDown     = 4
+	limitSteps   = 16
+	maxStepsDown = 4
 	// searchFrom is the least number of slots for which a step is a slot.
-	searchFrom = searchSteps
+	minSearchSlots = limitSteps
 	// epochFinishes is how many requests are timed at one limit. Times within a
 	// kind differ by about half of their mean, so that the mean of as many is
 	// right to 4%.
-	epochFinishes = 192
+	samplesPerLimit = 192
 	// margin is by how much a limit must finish more than a higher one to be
 	// kept: about the error of a comparison.
-	margin = 0.06
+	minImprovement = 0.06
 	// searchRest is the time between two trials that changed nothing. A trial
 	// takes a sixteenth of the slots for a fraction of a second.
-	searchRest = 4 * time.Second
+	trialInterval = 4 * time.Second
 	// clip bounds what one request counts, in means of its kind.
-	clip = 3.0
+	maxRelativeTime = 3.0
 	// meanKeep is the weight of the old mean time of a kind.
-	meanKeep = 64
+	meanSamples = 64
 )
 
 // limitSearch finds the concurrency at which a backend server finishes most.
@@ -38,72 +38,74 @@
 // a trial does not show the contrary again, so that a server which was slow for
 // another reason gets its slots back.
 type limitSearch struct {
-	down  int
-	trial int
+	stepsDown int
+	trialStep int
 	// skip is how many finishes are still of requests begun at another limit.
-	skip int
-	n    int
-	sum  float64
+	skipFinishes    int
+	samples         int
+	relativeTimeSum float64
 	// held is the mean time at the limit before the trial.
-	held float64
+	baselineTime float64
 	// restUntil is when the next trial may begin.
-	restUntil time.Duration
+	nextTrial time.Duration
 	// deeper is set after a step down that was kept: the next may help too.
-	deeper bool
-	means  [MaxKinds]kindMean
+	continueDown bool
+	kindMeans    [MaxKinds]kindMean
 }
 
 // kindMean is the mean time of a request kind.
 type kindMean struct {
-	n    int
-	mean time.Duration
+	samples int
+	mean    time.Duration
 }
 
 // ceiling is the limit that the search has come to, trials included.
-func (s *limitSearch) ceiling(slots int) float64 { return s.at(slots, s.down+s.trial) }
+func (s *limitSearch) maxLimit(slots int) float64 {
+	return s.limitAfterSteps(slots, s.stepsDown+s.trialStep)
+}
 
-func (s *limitSearch) at(slots, down int) float64 {
-	if slots < searchFrom {
+func (s *limitSearch) limitAfterSteps(slots, down int) float64 {
+	if slots < minSearchSlots {
 		return float64(slots)
 	}
-	return float64(slots - (slots*down+searchSteps-1)/searchSteps)
+	return float64(slots - (slots*down+limitSteps-1)/limitSteps)
 }
 
 // finish takes in a request that was run to its end while all slots were taken.
-func (s *limitSearch) finish(now time.Duration, kind uint8, took time.Duration, slots int) {
-	if slots < searchFrom {
+func (s *limitSearch) recordFinish(now time.Duration, kind uint8, took time.Duration, slots int) {
+	if slots < minSearchSlots {
 		return
 	}
-	share, ok := s.share(kind, took)
+	share, ok := s.relativeTime(kind, took)
 	if !ok {
 		return
 	}
-	if s.skip > 0 {
-		s.skip--
+	if s.skipFinishes > 0 {
+		s.skipFinishes--
 		return
 	}
-	s.n++
-	s.sum += min(clip, share)
-	if s.n < epochFinishes {
+	s.samples++
+	s.relativeTimeSum += min(maxRelativeTime, share)
+	if s.samples < samplesPerLimit {
 		return
 	}
-	mean := s.sum / float64(s.n)
-	s.n, s.sum = 0, 0
-	if s.trial == 0 {
-		s.begin(now, mean, slots)
+	mean := s.relativeTimeSum / float64(s.samples)
+	s.samples, s.relativeTimeSum = 0, 0
+	if s.trialStep == 0 {
+		s.startTrial(now, mean, slots)
 		return
 	}
-	s.judge(now, mean, slots)
+	s.finishTrial(now, mean, slots)
 }
 
 // share returns a request's time as a share of its kind's mean. The means stand
 // still during a trial, so that both sides of a comparison have the same.
-func (s *limitSearch) share(kind uint8, took time.Duration) (float64, bool) {
-	m := &s.means[kind%MaxKinds]
-	known := m.n >= meanKeep/4
-	if s.trial == 0 {
-		m.n = min(m.n+1, meanKeep)
-		m.mean += (took - m.mean) / time.Duration(m.n)
+func (s *limitSearch) relativeTime(kind uint8, took time.Duration) (float64, bool) {
+	m := &s.kindMeans[kind%MaxKinds]
+	known := m.samples >= meanSamples/4
+	if s.trialStep == 0 {
+		m.samples = min(m.samples+1, meanSamples)
+		m.mean += (took - m.mean) / time.Duration(m.samples)
 	}
 	if !known || m.mean <= 0 {
 		return 0, false
@@ -113,44 +115,44 @@
 
 // begin starts a trial: up where the limit is lowered, unless a further step
 // down is due.
-func (s *limitSearch) begin(now time.Duration, mean float64, slots int) {
-	if now < s.restUntil {
+func (s *limitSearch) startTrial(now time.Duration, mean float64, slots int) {
+	if now < s.nextTrial {
 		return
 	}
-	s.held = mean
+	s.baselineTime = mean
 	switch {
-	case s.down == 0 || s.deeper && s.down < maxDown:
-		s.trial = 1
+	case s.stepsDown == 0 || s.continueDown && s.stepsDown < maxStepsDown:
+		s.trialStep = 1
 	default:
-		s.trial = -1
+		s.trialStep = -1
 	}
-	s.deeper = false
-	s.skip = slots
+	s.continueDown = false
+	s.skipFinishes = slots
 }
 
 // judge ends a trial.
-func (s *limitSearch) judge(now time.Duration, mean float64, slots int) {
-	higher, lower := s.at(slots, s.down), s.at(slots, s.down+s.trial)
-	slow, fast := s.held, mean
-	if s.trial < 0 {
+func (s *limitSearch) finishTrial(now time.Duration, mean float64, slots int) {
+	higher, lower := s.limitAfterSteps(slots, s.stepsDown), s.limitAfterSteps(slots, s.stepsDown+s.trialStep)
+	slow, fast := s.baselineTime, mean
+	if s.trialStep < 0 {
 		higher, lower = lower, higher
 		slow, fast = fast, slow
 	}
-	lowerIsBetter := lower/fast > (1+margin)*higher/slow
-	if lowerIsBetter == (s.trial > 0) {
-		s.down += s.trial
-		s.deeper = s.trial > 0
+	lowerIsBetter := lower/fast > (1+minImprovement)*higher/slow
+	if lowerIsBetter == (s.trialStep > 0) {
+		s.stepsDown += s.trialStep
+		s.continueDown = s.trialStep > 0
 	}
-	if !s.deeper {
-		s.restUntil = now + searchRest
+	if !s.continueDown {
+		s.nextTrial = now + trialInterval
 	}
-	s.trial = 0
-	s.skip = slots
+	s.trialStep = 0
+	s.skipFinishes = slots
 }
 
 // interrupt gives up a trial: the server turned requests away, so that its times
 // cannot be compared.
-func (s *limitSearch) interrupt() {
-	s.n, s.sum = 0, 0
-	s.trial = 0
+func (s *limitSearch) abortTrial() {
+	s.samples, s.relativeTimeSum = 0, 0
+	s.trialStep = 0
 }
--- a/admission/waits.go
+++ b/admission/waits.go
@@ -15,26 +15,26 @@
 // need it. The bound holds less for the more urgent: a chain of theirs that is refused
 // in its midst for the sake of slots that less urgent ones wait in is lost with all the
 // work that was done for it.
-type Bulkhead struct{ held atomic.Int32 }
+type Bulkhead struct{ waiting atomic.Int32 }
 
 // Take counts one more wait if the bound allows it. Share is the part of the slots that
 // requests of the lowest class may wait in; the highest class may wait in all.
 func (w *Bulkhead) TryAcquire(slots int, share float64, r rank.Rank) bool {
-	if int(w.held.Add(1)) <= waitsMax(slots, share, r.Class()) {
+	if int(w.waiting.Add(1)) <= bulkheadLimit(slots, share, r.Class()) {
 		return true
 	}
-	w.held.Add(-1)
+	w.waiting.Add(-1)
 	return false
 }
 
 // Hold counts a wait without a bound.
-func (w *Bulkhead) ForceAcquire() { w.held.Add(1) }
+func (w *Bulkhead) ForceAcquire() { w.waiting.Add(1) }
 
 // Release ends a wait.
-func (w *Bulkhead) Release() { w.held.Add(-1) }
+func (w *Bulkhead) Release() { w.waiting.Add(-1) }
 
 // waitsMax is how many waits there may be for one more of a class.
-func waitsMax(slots int, share float64, class rank.Class) int {
+func bulkheadLimit(slots int, share float64, class rank.Class) int {
 	urgency := float64(class) / float64(rank.Classes-1)
 	return max(1, int(float64(slots)*(share+(1-share)*urgency)))
 }
--- a/admission/waits_test.go
+++ b/admission/waits_test.go
@@ -11,7 +11,7 @@
 // A called service hangs and requests of the lowest class wait on it in all the slots
 // that they may have: those that do not need it find slots, and a chain of the highest
 // class is not refused in its midst for them.
-func TestWaitsLeaveRoomForTheUrgent(t *testing.T) {
+func TestBulkheadReservesSlotsForHigherClasses(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const slots, share = 100, 0.8
 	var w Bulkhead
@@ -35,7 +35,7 @@
 }
 
 // One wait is always allowed: a server with a single slot makes calls as well.
-func TestWaitsOfASingleSlot(t *testing.T) {
+func TestBulkheadAllowsOneWaitWithSingleSlot(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var w Bulkhead
 	g.Expect(w.TryAcquire(1, 0.8, rank.Make(rank.Background, 0))).To(gomega.BeTrue())
--- a/budget/budget.go
+++ b/budget/budget.go
@@ -30,7 +30,7 @@
 
 // Spend takes one retry; false if none is left.
 func (p *Pool) TrySpend() bool {
-	if p.take(1) == 0 {
+	if p.tryTake(1) == 0 {
 		return false
 	}
 	p.spent.Add(1)
@@ -40,7 +40,7 @@
 // keptShare is the part of a pool that stays with the node that leases the
 // rest to a call below: of 24 retries, the node three calls further down has 9,
 // for all the calls that are made there; of halves it would have 3.
-const keptShare = 4
+const retainedDivisor = 4
 
 // Lease takes three quarters of what is left, rounded down, for a call below.
 // What stays, at least one, pays for this node's own retry if the answer is
@@ -48,7 +48,7 @@
 func (p *Pool) Lease() int {
 	for {
 		left := p.left.Load()
-		n := left - (left+keptShare-1)/keptShare
+		n := left - (left+retainedDivisor-1)/retainedDivisor
 		if n <= 0 {
 			return 0
 		}
@@ -72,7 +72,7 @@
 // Lose ends a lease whose answer never came: all of it counts as spent.
 func (p *Pool) ForfeitLease(n int) { p.SettleLease(n, n) }
 
-func (p *Pool) take(n int32) int32 {
+func (p *Pool) tryTake(n int32) int32 {
 	for {
 		left := p.left.Load()
 		if left < n {
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -10,12 +10,12 @@
 // tree runs one request over a random tree of calls, in which each node
 // retries as often as its pool lets it, and attempts fail after all their work
 // is done. It returns the retries that really happened.
-func tree(t *rapid.T, p *Pool, depth int, lose func(p *Pool, lease int)) int {
+func runCallTree(t *rapid.T, p *Pool, depth int, lose func(p *Pool, lease int)) int {
 	retries := 0
 	calls := rapid.IntRange(0, 3).Draw(t, "calls")
 	for range calls {
 		for {
-			retries += attempt(t, p, depth, lose)
+			retries += runAttempt(t, p, depth, lose)
 			if !rapid.Bool().Draw(t, "fails") || !p.TrySpend() {
 				break
 			}
@@ -25,14 +25,14 @@
 	return retries
 }
 
-func attempt(t *rapid.T, p *Pool, depth int, lose func(p *Pool, lease int)) int {
+func runAttempt(t *rapid.T, p *Pool, depth int, lose func(p *Pool, lease int)) int {
 	if depth == 0 {
 		return 0
 	}
 	lease := p.Lease()
 	var below Pool
 	below.Reset(lease)
-	retries := tree(t, &below, depth-1, lose)
+	retries := runCallTree(t, &below, depth-1, lose)
 	if rapid.Bool().Draw(t, "answer lost") {
 		lose(p, lease)
 	} else {
@@ -41,12 +41,12 @@
 	return retries
 }
 
-func TestRetriesOfATreeStayWithinTheBudget(t *testing.T) {
+func TestCallTreeRetriesStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := rapid.IntRange(0, 16).Draw(t, "budget")
 		var p Pool
 		p.Reset(budget)
-		if n := tree(t, &p, 4, (*Pool).ForfeitLease); n > budget {
+		if n := runCallTree(t, &p, 4, (*Pool).ForfeitLease); n > budget {
 			t.Fatalf("%d retries with a budget of %d", n, budget)
 		}
 	})
@@ -54,14 +54,14 @@
 
 // TestLostLeaseGivenBackIsFound shows that the check finds a pool that takes
 // back a lease whose answer was lost.
-func TestLostLeaseGivenBackIsFound(t *testing.T) {
+func TestBudgetCheckDetectsRefundedLostLease(t *testing.T) {
 	found := false
 	rapid.Check(t, func(t *rapid.T) {
 		budget := rapid.IntRange(0, 16).Draw(t, "budget")
 		var p Pool
 		p.Reset(budget)
 		giveBack := func(p *Pool, lease int) { p.SettleLease(lease, 0) }
-		found = found || tree(t, &p, 4, giveBack) > budget
+		found = found || runCallTree(t, &p, 4, giveBack) > budget
 	})
 	if !found {
 		t.Fatal("no check failed")
@@ -76,7 +76,7 @@
 	for b.Loop() {
 		now += 10 * time.Microsecond
 		p.Reset(3)
-		s.RecordFirstAttempt(now, limits)
+		s.RecordFirstAttempt(now, testLimits)
 		n := p.Lease()
 		p.SettleLease(n, 0)
 	}
--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -13,32 +13,32 @@
 
 // bounds are the upper bounds of the histograms' buckets. They are closest where
 // objectives lie.
-var bounds = [...]time.Duration{
+var bucketBounds = [...]time.Duration{
 	5 * time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond,
 	400 * time.Millisecond, 800 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second, 6 * time.Second,
 }
 
 // histogram counts durations; the last bucket has no bound.
 type histogram struct {
-	buckets [len(bounds) + 1]atomic.Int64
-	sumUs   atomic.Int64
+	buckets   [len(bucketBounds) + 1]atomic.Int64
+	sumMicros atomic.Int64
 }
 
 func (h *histogram) observe(d time.Duration) {
-	i := sort.Search(len(bounds), func(i int) bool { return d <= bounds[i] })
+	i := sort.Search(len(bucketBounds), func(i int) bool { return d <= bucketBounds[i] })
 	h.buckets[i].Add(1)
-	h.sumUs.Add(d.Microseconds())
+	h.sumMicros.Add(d.Microseconds())
 }
 
 // Table holds a histogram for each class and outcome, a
 // bounded set whatever the settings name. It is safe for concurrent use.
 type Table struct{ m sync.Map }
 
-type key struct{ class, outcome string }
+type seriesKey struct{ class, outcome string }
 
 // Observe counts a request that has its answer.
 func (t *Table) Observe(class, outcome string, took time.Duration) {
-	k := key{class, outcome}
+	k := seriesKey{class, outcome}
 	v, ok := t.m.Load(k)
 	if !ok {
 		v, _ = t.m.LoadOrStore(k, &histogram{})
@@ -49,19 +49,19 @@
 // Write writes the histograms as text, in seconds. Errors of w are the reader's loss.
 func (t *Table) WriteText(w io.Writer) {
 	t.m.Range(func(k, v any) bool {
-		labelled, h := k.(key), v.(*histogram)
+		labelled, h := k.(seriesKey), v.(*histogram)
 		labels := fmt.Sprintf("class=%q,outcome=%q", labelled.class, labelled.outcome)
 		sum := int64(0)
 		for i := range h.buckets {
 			sum += h.buckets[i].Load()
 			bound := "+Inf"
-			if i < len(bounds) {
-				bound = fmt.Sprint(bounds[i].Seconds())
+			if i < len(bucketBounds) {
+				bound = fmt.Sprint(bucketBounds[i].Seconds())
 			}
 			fmt.Fprintf(w, "umberthread_request_seconds_bucket{%s,le=%q} %d\n", labels, bound, sum)
 		}
 		fmt.Fprintf(w, "umberthread_request_seconds_count{%s} %d\n", labels, sum)
-		fmt.Fprintf(w, "umberthread_request_seconds_sum{%s} %g\n", labels, float64(h.sumUs.Load())/1e6)
+		fmt.Fprintf(w, "umberthread_request_seconds_sum{%s} %g\n", labels, float64(h.sumMicros.Load())/1e6)
 		return true
 	})
 }
--- a/internal/pathlevel/pathlevel.go
+++ b/internal/pathlevel/pathlevel.go
@@ -19,70 +19,70 @@
 // paths of the kinds that pass through it, whatever the size of the fleet. It is safe for concurrent
 // use.
 type Table struct {
-	roots sync.Map // root scope -> *path
+	paths sync.Map // root scope -> *path
 }
 
 // path is a short list of called services. It only grows, and is copied to
 // do so; the words in it are atomic.
-type path struct {
-	mu    sync.Mutex
-	edges atomic.Pointer[[]*edge]
+type rootPath struct {
+	mu     sync.Mutex
+	levels atomic.Pointer[[]*serviceLevel]
 }
 
-type edge struct {
-	service string
-	level   atomic.Uint32
-	at      atomic.Int64
+type serviceLevel struct {
+	service   string
+	level     atomic.Uint32
+	updatedAt atomic.Int64
 }
 
 const (
 	// edgeKeep is the share of the old level that an answer leaves which
 	// follows at once: answers come from several instances, whose levels
 	// differ.
-	edgeKeep = 0.6
+	previousLevelWeight = 0.6
 	// edgeMemory is the age from which the old level says nothing beside a
 	// new answer. Most nodes see few requests of a kind.
-	edgeMemory = 200 * time.Millisecond
+	previousLevelMemory = 200 * time.Millisecond
 )
 
 // Observe takes in the path level that an answer of service reported.
 func (t *Table) Observe(root, service string, l rank.Level, now time.Duration) {
-	v, ok := t.roots.Load(root)
+	v, ok := t.paths.Load(root)
 	if !ok {
-		v, _ = t.roots.LoadOrStore(root, &path{})
+		v, _ = t.paths.LoadOrStore(root, &rootPath{})
 	}
-	e := v.(*path).edge(service)
+	e := v.(*rootPath).findOrAdd(service)
 	old := rank.Level(e.level.Load())
 	keep := 0.0
-	if at := e.at.Load(); at != 0 {
-		keep = edgeKeep * max(0, 1-float64(now-time.Duration(at))/float64(edgeMemory))
+	if at := e.updatedAt.Load(); at != 0 {
+		keep = previousLevelWeight * max(0, 1-float64(now-time.Duration(at))/float64(previousLevelMemory))
 	}
 	next := rank.Level(float64(old)*keep + float64(l)*(1-keep))
 	if next != old {
 		e.level.Store(uint32(next))
 	}
-	e.at.Store(int64(now))
+	e.updatedAt.Store(int64(now))
 }
 
 // Level returns the level of the path of a root kind, faded by its age.
 func (t *Table) Level(root string, now time.Duration) rank.Level {
-	v, ok := t.roots.Load(root)
+	v, ok := t.paths.Load(root)
 	if !ok {
 		return 0
 	}
-	edges := v.(*path).edges.Load()
+	edges := v.(*rootPath).levels.Load()
 	if edges == nil {
 		return 0
 	}
 	var highest rank.Level
 	for _, e := range *edges {
-		l := route.Fade(rank.Level(e.level.Load()), now-time.Duration(e.at.Load()))
+		l := route.Fade(rank.Level(e.level.Load()), now-time.Duration(e.updatedAt.Load()))
 		highest = max(highest, l)
 	}
 	return highest
 }
 
-func (p *path) edge(service string) *edge {
+func (p *rootPath) findOrAdd(service string) *serviceLevel {
 	if e := p.find(service); e != nil {
 		return e
 	}
@@ -91,18 +91,18 @@
 	if e := p.find(service); e != nil {
 		return e
 	}
-	e := &edge{service: service}
-	var next []*edge
-	if old := p.edges.Load(); old != nil {
+	e := &serviceLevel{service: service}
+	var next []*serviceLevel
+	if old := p.levels.Load(); old != nil {
 		next = append(next, *old...)
 	}
 	next = append(next, e)
-	p.edges.Store(&next)
+	p.levels.Store(&next)
 	return e
 }
 
-func (p *path) find(service string) *edge {
-	edges := p.edges.Load()
+func (p *rootPath) find(service string) *serviceLevel {
+	edges := p.levels.Load()
 	if edges == nil {
 		return nil
 	}
--- a/internal/pathlevel/pathlevel_test.go
+++ b/internal/pathlevel/pathlevel_test.go
@@ -9,7 +9,7 @@
 	"github.com/umberthread/umberthread/rank"
 )
 
-func TestPathLevelIsTheHighestAndFades(t *testing.T) {
+func TestPathLevelIsHighestAndDecays(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var p Table
 	now := time.Second
--- a/internal/scope/scope.go
+++ b/internal/scope/scope.go
@@ -21,7 +21,7 @@
 	mu       sync.Mutex
 	code     fault.Code
 	conn     net.Conn
-	wake     chan fault.Code
+	notify   chan fault.Code
 	children map[*Scope]struct{}
 	parent   *Scope
 }
@@ -63,7 +63,7 @@
 }
 
 // past is a deadline that interrupts a blocked read or write at once.
-var past = time.Unix(1, 0)
+var pastDeadline = time.Unix(1, 0)
 
 // Cancel ends the scope and all scopes below it.
 func (s *Scope) Cancel(code fault.Code) {
@@ -74,11 +74,11 @@
 	}
 	s.code = code
 	if s.conn != nil {
-		_ = s.conn.SetDeadline(past)
+		_ = s.conn.SetDeadline(pastDeadline)
 	}
-	if s.wake != nil {
+	if s.notify != nil {
 		select {
-		case s.wake <- code:
+		case s.notify <- code:
 		default:
 		}
 	}
@@ -118,14 +118,14 @@
 	if s.code != fault.None {
 		return false
 	}
-	s.wake = c
+	s.notify = c
 	return true
 }
 
 // Silence ends Notify.
 func (s *Scope) StopNotify() {
 	s.mu.Lock()
-	s.wake = nil
+	s.notify = nil
 	s.mu.Unlock()
 }
 
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -54,7 +54,7 @@
 
 // maxFree is how often a call is sent to another node at no cost: a leaving instance
 // is heard of late, and rarely two in a row.
-const maxFree = 3
+const maxUncharged = 3
 
 // Decide returns whether to send a call once more.
 func Decide(c Call, f Failure) Verdict {
@@ -63,13 +63,13 @@
 		return GiveUp
 	case f.Code != fault.None && f.Execution != fault.RunNo && !c.Idempotent:
 		return GiveUp
-	case f.Code != fault.None && !helps(c, f):
+	case f.Code != fault.None && !otherInstanceMayHelp(c, f):
 		return GiveUp
-	case f.Code == fault.BackendLost && f.Execution != fault.RunNo && c.Terminations > maxEnds:
+	case f.Code == fault.BackendLost && f.Execution != fault.RunNo && c.Terminations > maxTerminations:
 		return GiveUp
-	case neverOffered(f) && c.Uncharged < maxFree:
+	case neverReachedServer(f) && c.Uncharged < maxUncharged:
 		return RetryUncharged
-	case !mayGoOn(c, f):
+	case !mayOfferAgain(c, f):
 		return GiveUp
 	default:
 		return RetryCharged
@@ -78,11 +78,11 @@
 
 // maxEnds is how many backend servers may have ended under a call that is sent once
 // more. One that ends each server that runs it would else end all that it may be sent to.
-const maxEnds = 1
+const maxTerminations = 1
 
 // helps tells whether another instance may do better. The refusal of an overloaded
 // one is tried once at another, by the node that chose it and by none above it.
-func helps(c Call, f Failure) bool {
+func otherInstanceMayHelp(c Call, f Failure) bool {
 	switch f.Code {
 	case fault.Overload, fault.QueueTimeout:
 		return c.Attempts == 1 && f.InstanceChosen
@@ -97,7 +97,7 @@
 
 // neverOffered tells whether a failed attempt certainly ended before any backend
 // server, so that trying another makes no load for any.
-func neverOffered(f Failure) bool {
+func neverReachedServer(f Failure) bool {
 	if f.Code == fault.None || f.Execution != fault.RunNo {
 		return false
 	}
@@ -112,7 +112,7 @@
 // mayGoOn tells whether another backend server may be asked. Where the call has been
 // sent to as many as it may, one that turned it away may be asked again: one that
 // turns away half of the requests takes the next with the same chance.
-func mayGoOn(c Call, f Failure) bool {
+func mayOfferAgain(c Call, f Failure) bool {
 	if c.MaxOffered == 0 || c.Offered < c.MaxOffered {
 		return true
 	}
@@ -121,32 +121,32 @@
 
 const (
 	// comeBackMin is the shortest time given to a caller to come back.
-	comeBackMin = 200 * time.Millisecond
+	minRetryAfter = 200 * time.Millisecond
 	// ComeBackMax is the longest mean time, at a level that sheds everything.
 	MaxRetryAfter = 4 * time.Second
 	// comeBackShare is the mean share of the objective after which a caller that
 	// was turned away for load may come back: at most half of it is gone then.
-	comeBackShare = 1.0 / 3
+	retryAfterFraction = 1.0 / 3
 )
 
 // ComeBack returns when a refused caller may come back: the longer the more is being
 // shed at the level, spread over half to one and a half of that time so that callers
 // do not return together. Draw is uniform in [0, 1).
-func RetryAfter(l rank.Level, draw float64) time.Duration { return spread(mean(l), draw) }
+func RetryAfter(l rank.Level, draw float64) time.Duration { return jitter(meanRetryAfter(l), draw) }
 
 // ComeBackInTime is ComeBack for a request that was turned away for load: it comes
 // back with another place in the order of shedding, while an answer is still worth
 // most to its caller. The load outlasts the longest time that a caller would wait, so
 // that a longer one only makes its answer late.
 func RetryAfterWithin(l rank.Level, objective time.Duration, draw float64) time.Duration {
-	return spread(min(mean(l), time.Duration(comeBackShare*float64(objective))), draw)
+	return jitter(min(meanRetryAfter(l), time.Duration(retryAfterFraction*float64(objective))), draw)
 }
 
-func mean(l rank.Level) time.Duration {
+func meanRetryAfter(l rank.Level) time.Duration {
 	shed := float64(l) / rank.Count
-	return comeBackMin + time.Duration(shed*float64(MaxRetryAfter-comeBackMin))
+	return minRetryAfter + time.Duration(shed*float64(MaxRetryAfter-minRetryAfter))
 }
 
-func spread(mean time.Duration, draw float64) time.Duration {
+func jitter(mean time.Duration, draw float64) time.Duration {
 	return time.Duration(float64(mean) * (0.5 + draw))
 }
