--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -12,23 +12,24 @@
 	"github.com/umberthread/umberthread/rank"
 )
 
-// model holds what a guard must keep to.
+// limiterModel tracks running, waiting and refused requests to check a limiter's
+// invariants.
 type limiterModel struct {
 	t       *rapid.T
-	g       *Limiter
+	limiter *Limiter
 	now     time.Duration
 	slots   int
 	running int
 	waiting map[*Waiter]bool
 	refused map[*Waiter]bool
-	// reversed turns the queue round before each pop: the broken variant.
+	// reversed breaks the queue order before each pop.
 	reversed bool
 	fail     func(format string, args ...any)
 }
 
 func (m *limiterModel) arrive(class rank.Class, cohort uint8, deadline time.Duration) {
 	w := &Waiter{Request: Request{Rank: rank.Make(class, cohort), Deadline: m.now + deadline}}
-	d := m.g.Arrive(m.now, w)
+	d := m.limiter.Arrive(m.now, w)
 	switch d.Verdict {
 	case Admitted:
 		m.running++
@@ -40,7 +41,7 @@
 	}
 	if d.Evicted != nil {
 		if !m.waiting[d.Evicted] {
-			m.fail("evicted what does not wait")
+			m.fail("evicted request is not queued")
 		}
 		if d.Evicted.Request.Rank.Class() > class {
 			m.fail("evicted a higher class for a lower one")
@@ -50,10 +51,10 @@
 	}
 }
 
-// checkRefusal checks that nothing of a lower class waits for the slots while
-// a request is refused because the queue is full.
+// checkRefusal checks that no request of a lower class waits while a request is
+// refused because the queue is full.
 func (m *limiterModel) checkRefusal(w *Waiter, code fault.Code) {
-	if code != fault.Overload || !m.g.Level().Admits(w.Request.Rank, 0) {
+	if code != fault.Overload || !m.limiter.Level().Admits(w.Request.Rank, 0) {
 		return
 	}
 	for o := range m.waiting {
@@ -71,26 +72,26 @@
 	if m.reversed {
 		m.reverse()
 	}
-	next, late := m.g.Finish(m.now, Outcome{ServiceTime: took}, nil)
-	m.end(next, late)
+	next, late := m.limiter.Finish(m.now, Outcome{ServiceTime: took}, nil)
+	m.recordAdmission(next, late)
 	for {
-		next, late = m.g.AdmitNext(m.now, nil)
-		m.end(next, late)
+		next, late = m.limiter.AdmitNext(m.now, nil)
+		m.recordAdmission(next, late)
 		if next == nil {
 			return
 		}
 	}
 }
 
-// reverse puts the last waiter of the queue first.
+// reverse swaps the first and last entries of the queue.
 func (m *limiterModel) reverse() {
-	q := m.g.queue
+	q := m.limiter.queue
 	if n := len(q); n > 1 {
 		q.Swap(0, n-1)
 	}
 }
 
-func (m *limiterModel) end(next *Waiter, late []*Waiter) {
+func (m *limiterModel) recordAdmission(next *Waiter, late []*Waiter) {
 	for _, w := range late {
 		delete(m.waiting, w)
 		m.refused[w] = true
@@ -99,7 +100,7 @@
 		return
 	}
 	if m.refused[next] || !m.waiting[next] {
-		m.fail("a request that was told that it was not run is run")
+		m.fail("admitted request was refused or is not queued")
 	}
 	for o := range m.waiting {
 		if o.Request.Rank.Class() > next.Request.Rank.Class() {
@@ -107,21 +108,21 @@
 		}
 	}
 	if next.Request.Deadline <= m.now {
-		m.fail("an expired request is run")
+		m.fail("an expired request is admitted")
 	}
 	delete(m.waiting, next)
 	m.running++
 }
 
 func (m *limiterModel) check() {
-	if m.running > m.slots || m.running != m.g.InFlight() {
-		m.fail("%d run in %d slots, the guard counts %d", m.running, m.slots, m.g.InFlight())
+	if m.running > m.slots || m.running != m.limiter.InFlight() {
+		m.fail("%d requests hold %d slots, InFlight returns %d", m.running, m.slots, m.limiter.InFlight())
 	}
-	if m.g.Limit() > m.slots {
-		m.fail("limit %d of %d slots", m.g.Limit(), m.slots)
+	if m.limiter.Limit() > m.slots {
+		m.fail("limit %d exceeds %d slots", m.limiter.Limit(), m.slots)
 	}
-	if len(m.waiting) != m.g.Queued() {
-		m.fail("%d wait, the guard counts %d", len(m.waiting), m.g.Queued())
+	if len(m.waiting) != m.limiter.Queued() {
+		m.fail("%d requests wait, Queued returns %d", len(m.waiting), m.limiter.Queued())
 	}
 	for w := range m.waiting {
 		if w.QueueDeadline() > w.Request.Deadline {
@@ -130,12 +131,13 @@
 	}
 }
 
-// TestGuardKeepsItsPromises drives a guard with random traffic.
+// TestLimiterInvariants checks a limiter's invariants under random traffic.
 func TestLimiterInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { driveLimiter(t, false, t.Fatalf) })
 }
 
-// TestWrongOrderIsFound shows that the checks find a queue in the wrong order.
+// TestInvariantsDetectWrongQueueOrder checks that a queue in the wrong order
+// violates an invariant.
 func TestInvariantsDetectWrongQueueOrder(t *testing.T) {
 	found := false
 	rapid.Check(t, func(t *rapid.T) {
@@ -144,20 +146,21 @@
 		}
 	})
 	if !found {
-		t.Fatal("no check failed")
+		t.Fatal("no invariant was violated")
 	}
 }
 
+// driveLimiter drives a limiter with random traffic and checks its invariants.
 func driveLimiter(t *rapid.T, reversed bool, fail func(string, ...any)) {
 	m := &limiterModel{
 		t: t, slots: rapid.IntRange(1, 8).Draw(t, "slots"), waiting: map[*Waiter]bool{}, refused: map[*Waiter]bool{},
 		reversed: reversed, fail: fail,
 	}
-	m.g = New(Options{Slots: m.slots, QueueMax: rapid.IntRange(0, 6).Draw(t, "queue"), QueueWait: 200 * time.Millisecond, QueueTarget: 3 * time.Millisecond, Window: 50 * time.Millisecond})
+	m.limiter = New(Options{Slots: m.slots, QueueMax: rapid.IntRange(0, 6).Draw(t, "queue"), QueueWait: 200 * time.Millisecond, QueueTarget: 3 * time.Millisecond, Window: 50 * time.Millisecond})
 	for range rapid.IntRange(10, 200).Draw(t, "steps") {
 		m.now += time.Duration(rapid.IntRange(0, 20).Draw(t, "pause")) * time.Millisecond
 		for w := range m.waiting {
-			if w.QueueDeadline() <= m.now && m.g.RemoveWaiter(m.now, w) {
+			if w.QueueDeadline() <= m.now && m.limiter.RemoveWaiter(m.now, w) {
 				delete(m.waiting, w)
 				m.refused[w] = true
 			}
@@ -172,16 +175,16 @@
 	}
 }
 
-// server is a fake backend server under an open load.
+// fakeServer simulates a backend server under open load.
 type fakeServer struct {
-	g       *Limiter
+	limiter *Limiter
 	rng     *rand.Rand
 	service time.Duration
 	now     time.Duration
 	busy    []time.Duration
 	waiting map[*Waiter]bool
 
-	asked, served, askedTop, servedTop int
+	asked, served, askedProtected, servedProtected int
 }
 
 func (s *fakeServer) start(w *Waiter) {
@@ -189,7 +192,7 @@
 	s.busy = append(s.busy, s.now+time.Duration(float64(s.service)*(0.5+s.rng.Float64())))
 	s.served++
 	if w.Request.Rank.Class() == rank.Protected {
-		s.servedTop++
+		s.servedProtected++
 	}
 }
 
@@ -205,7 +208,7 @@
 	}
 	s.busy = still
 	for range ended {
-		next, late := s.g.Finish(s.now, Outcome{ServiceTime: s.service}, nil)
+		next, late := s.limiter.Finish(s.now, Outcome{ServiceTime: s.service}, nil)
 		for _, w := range late {
 			delete(s.waiting, w)
 		}
@@ -214,7 +217,7 @@
 		}
 	}
 	for w := range s.waiting {
-		if w.QueueDeadline() <= s.now && s.g.RemoveWaiter(s.now, w) {
+		if w.QueueDeadline() <= s.now && s.limiter.RemoveWaiter(s.now, w) {
 			delete(s.waiting, w)
 		}
 	}
@@ -225,10 +228,10 @@
 	class := rank.Class(s.rng.IntN(3))
 	if s.rng.Float64() < 0.1 {
 		class = rank.Protected
-		s.askedTop++
+		s.askedProtected++
 	}
 	w := &Waiter{Request: Request{Rank: rank.Make(class, uint8(s.rng.IntN(256))), Deadline: s.now + 2*time.Second}}
-	d := s.g.Arrive(s.now, w)
+	d := s.limiter.Arrive(s.now, w)
 	delete(s.waiting, d.Evicted)
 	switch d.Verdict {
 	case Admitted:
@@ -238,11 +241,12 @@
 	}
 }
 
-// drive loads the server for a span with a demand in times of its capacity and
-// returns the share of the capacity used and of the protected class served.
+// drive applies a load of demand times the capacity for a span. It returns the
+// served fraction of the load or the capacity, whichever is less, and the served
+// fraction of the protected class.
 func (s *fakeServer) drive(span time.Duration, demand float64) (used, protected float64) {
-	s.asked, s.served, s.askedTop, s.servedTop = 0, 0, 0, 0
-	perSecond := float64(s.g.opt.Slots) / s.service.Seconds()
+	s.asked, s.served, s.askedProtected, s.servedProtected = 0, 0, 0, 0
+	perSecond := float64(s.limiter.opt.Slots) / s.service.Seconds()
 	for end := s.now + span; s.now < end; s.now += time.Millisecond {
 		s.finish()
 		for n := demand * perSecond / 1000; s.rng.Float64() < n; n-- {
@@ -250,21 +254,21 @@
 		}
 	}
 	capacity := perSecond * span.Seconds()
-	return float64(s.served) / min(capacity, float64(s.asked)), float64(s.servedTop) / float64(max(1, s.askedTop))
+	return float64(s.served) / min(capacity, float64(s.asked)), float64(s.servedProtected) / float64(max(1, s.askedProtected))
 }
 
 func TestLevelTracksLoad(t *testing.T) {
 	g := gomega.NewWithT(t)
-	guard := New(Options{Slots: 16, QueueMax: 32, QueueWait: time.Second, QueueTarget: 3 * time.Millisecond, Window: 100 * time.Millisecond})
-	s := &fakeServer{g: guard, rng: rand.New(rand.NewPCG(1, 2)), service: 20 * time.Millisecond, waiting: map[*Waiter]bool{}}
+	limiter := New(Options{Slots: 16, QueueMax: 32, QueueWait: time.Second, QueueTarget: 3 * time.Millisecond, Window: 100 * time.Millisecond})
+	s := &fakeServer{limiter: limiter, rng: rand.New(rand.NewPCG(1, 2)), service: 20 * time.Millisecond, waiting: map[*Waiter]bool{}}
 	s.drive(5*time.Second, 0.6)
-	g.Expect(guard.Level()).To(gomega.BeZero())
+	g.Expect(limiter.Level()).To(gomega.BeZero())
 	used, protected := s.drive(5*time.Second, 4)
 	g.Expect(used).To(gomega.BeNumerically(">", 0.9))
 	g.Expect(protected).To(gomega.BeNumerically(">", 0.99))
-	g.Expect(guard.Level()).To(gomega.BeNumerically(">", 256))
+	g.Expect(limiter.Level()).To(gomega.BeNumerically(">", 256))
 	s.drive(1500*time.Millisecond, 0.6)
-	g.Expect(guard.Level()).To(gomega.BeZero())
+	g.Expect(limiter.Level()).To(gomega.BeZero())
 }
 
 func BenchmarkArriveDone(b *testing.B) {
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -7,33 +7,38 @@
 )
 
 const (
-	// keep is the share of the arrival histogram that a new window keeps.
+	// histogramDecay is the fraction of the arrival histogram kept for the next
+	// window.
 	histogramDecay = 0.5
-	// openBelow is the utilisation under which the level is lowered.
+	// saturatedUtilization is the utilization below which the level is lowered.
 	saturatedUtilization = 0.97
-	// maxOpen bounds the growth of admitted load in one window.
+	// maxLoadGrowth bounds the growth factor of the admitted load per window.
 	maxLoadGrowth = 2.0
-	// openRanks and idleRanks bound how far the level falls in one window,
-	// with no slot idle and in addition with all idle: below the level the
-	// demand is not known.
+	// baseLevelDrop and idleLevelDrop bound how many ranks the level drops in one
+	// window: the first at full utilization, the sum of both with all slots idle.
+	// The demand below the level is unknown.
 	baseLevelDrop = rank.Cohorts / 8
 	idleLevelDrop = rank.Count / 2
-	// baseCut is the share cut beyond the measured excess on overload.
+	// baseReduction is the fraction of the finished load shed in addition to the
+	// measured excess on overload.
 	baseReduction = 0.02
-	// waitCut is the further share cut when the wait is at its maximum.
+	// waitReduction is the further fraction shed when the mean wait reaches its
+	// maximum.
 	waitReduction = 0.15
-	// severeFactor is how many targets the wait must reach to act after one
-	// window.
+	// severeWaitFactor is the multiple of the target wait above which a single
+	// window raises the level.
 	severeWaitFactor = 2
-	// minFinished is how many requests a window needs to judge an overload.
+	// minFinished is the number of finished requests required to evaluate a
+	// window in which requests waited.
 	minFinished = 16
-	// maxStretch is how many windows long a window with fewer may become.
+	// maxWindowStretch is the maximum length of a window with fewer finished
+	// requests, in multiples of the configured window.
 	maxWindowStretch = 8
 )
 
-// controller moves the admission level once a window. On overload it cuts
-// the admitted demand down to what was finished, less a little to drain the
-// queue; with slots idle it admits as much more as they could serve.
+// levelController adjusts the admission level once per window. On overload it
+// reduces the admitted demand to slightly less than the finished load, so that
+// the queue drains; with idle slots it admits as much more as they can serve.
 type levelController struct {
 	level       rank.Level
 	windowStart time.Duration
@@ -44,7 +49,8 @@
 	waitSum     time.Duration
 	overflows   int
 	pushback    bool
-	// wasOver is set if the last window's wait was above the target.
+	// wasOverTarget reports whether the last window's mean wait exceeded the
+	// target.
 	wasOverTarget bool
 
 	busyIntegral float64
@@ -64,15 +70,16 @@
 
 func (c *levelController) recordOverflow() { c.overflows++ }
 
-// waited counts a request that leaves the queue, or d = 0 for one that never
-// stood in it.
+// recordWait counts a request that leaves the queue after waiting for d, or one
+// admitted directly with d = 0.
 func (c *levelController) recordWait(d time.Duration) {
 	c.admitted++
 	c.waitSum += d
 }
 
-// due tells whether the window can be judged: its time has passed and enough
-// requests finished in it, or none had to wait, or it is long overdue.
+// windowComplete reports whether the window can be evaluated: it has elapsed, and
+// either nothing waited, overflowed or was pushed back, or enough requests
+// finished, or it has reached its maximum length.
 func (c *levelController) windowComplete(now, window time.Duration) bool {
 	if now < c.windowEnd {
 		return false
@@ -81,7 +88,8 @@
 	return calm || c.finished >= minFinished || now >= c.windowEnd+(maxWindowStretch-1)*window
 }
 
-// account adds the utilisation since the last event to the window's integral.
+// updateUtilization adds the utilization since the last update to the window's
+// integral.
 func (c *levelController) updateUtilization(now time.Duration, inflight int, limit float64) {
 	if d := now - c.busyUpdated; d > 0 {
 		c.busyIntegral += float64(d) * min(1, float64(inflight)/limit)
@@ -89,8 +97,8 @@
 	c.busyUpdated = now
 }
 
-// close ends the window, moves the level and starts the next window. target
-// is the mean wait that keeps the slots busy, maxWait the longest allowed.
+// closeWindow evaluates the window, adjusts the level and starts the next window.
+// target is the mean wait that keeps the slots busy, maxWait the longest allowed.
 func (c *levelController) closeWindow(now, window, target, maxWait time.Duration) {
 	elapsed := now - c.windowStart
 	util := 0.0
@@ -101,23 +109,24 @@
 	if c.admitted > 0 {
 		wait = c.waitSum / time.Duration(c.admitted)
 	}
-	over := wait > target
+	overTarget := wait > target
 	severe := wait > severeWaitFactor*target || c.overflows > c.finished/8 || c.pushback
 	switch {
-	case severe || over && c.wasOverTarget:
+	case severe || overTarget && c.wasOverTarget:
 		c.raiseLevel(float64(wait) / float64(maxWait))
-	case over:
-		// Chance arrivals fill a queue for one window; demand beyond the
-		// capacity fills it for the next as well.
+	case overTarget:
+		// Random bursts fill the queue for one window; demand above the
+		// capacity also fills it in the next.
 	case c.level > 0 && util < saturatedUtilization:
 		c.lowerLevel(util)
 	}
-	c.wasOverTarget = over
+	c.wasOverTarget = overTarget
 	c.startWindow(now, window)
 }
 
-// tighten raises the level until the demand above it is what was finished,
-// less a little to drain the queue. fill is how full the queue is, in time.
+// raiseLevel raises the level until the demand at or above it is slightly less
+// than the finished load, so that the queue drains. fill is the mean wait as a
+// fraction of the maximum.
 func (c *levelController) raiseLevel(fill float64) {
 	if c.histTotal <= 0 || c.arrivals == 0 {
 		return
@@ -131,7 +140,7 @@
 	}
 }
 
-// above is the recent demand at or above the level.
+// demandAboveLevel returns the recent demand at or above the level.
 func (c *levelController) demandAboveLevel() float64 {
 	sum := 0.0
 	for r := int(c.level); r < rank.Count; r++ {
@@ -140,23 +149,24 @@
 	return sum
 }
 
-// open lowers the level far enough to fill the idle slots, judging the
-// demand of the ranks below by that of the ranks just above.
+// lowerLevel lowers the level far enough to fill the idle slots. It estimates the
+// demand of the ranks below the level by that of the ranks just above it.
 func (c *levelController) lowerLevel(util float64) {
-	grow := maxLoadGrowth
+	growth := maxLoadGrowth
 	if util > 0 {
-		grow = min(maxLoadGrowth, 1/util)
+		growth = min(maxLoadGrowth, 1/util)
 	}
-	room := c.demandAboveLevel() * (grow - 1)
-	most := baseLevelDrop + int((1-util)*idleLevelDrop)
-	step := most
+	spare := c.demandAboveLevel() * (growth - 1)
+	maxStep := baseLevelDrop + int((1-util)*idleLevelDrop)
+	step := maxStep
 	if d := c.demandPerRank(); d > 0 {
-		step = min(most, int(room/d)+1)
+		step = min(maxStep, int(spare/d)+1)
 	}
 	c.level -= rank.Level(min(step, int(c.level)))
 }
 
-// density is the mean demand per rank in the part of a class above the level.
+// demandPerRank returns the mean demand per rank over the baseLevelDrop ranks from
+// the level up.
 func (c *levelController) demandPerRank() float64 {
 	from := int(c.level)
 	to := min(from+baseLevelDrop, rank.Count)
@@ -170,6 +180,7 @@
 	return sum / float64(to-from)
 }
 
+// startWindow decays the arrival histogram and clears the counters of the window.
 func (c *levelController) startWindow(now, window time.Duration) {
 	for i := range c.arrivalHist {
 		c.arrivalHist[i] *= histogramDecay
@@ -187,20 +198,21 @@
 	c.busyUpdated = now
 }
 
-// quantile follows a quantile of a stream of durations with one word of
-// state, by steps up and down that are balanced at that quantile.
+// quantileEstimate tracks a quantile of a stream of durations in constant space,
+// by steps up and down that balance at that quantile.
 type quantileEstimate struct {
 	value time.Duration
-	// fresh is set by each sample and cleared by fade.
+	// sampled is set by observe and cleared by decay.
 	sampled bool
 }
 
-// fadeShare is the part of a quantile that a window without a sample takes
-// away: where everything is refused for want of time there are no samples, and
-// the estimate must not keep it so.
+// idleDecayDivisor is the divisor of the estimate's decrease in a window without
+// samples. If all requests are refused for lack of time, no samples arrive, and
+// without the decay the estimate would never fall.
 const idleDecayDivisor = 16
 
-// fade is called once a window.
+// decay lowers the estimate if there was no sample since the last call. It is
+// called once per window.
 func (q *quantileEstimate) decay() {
 	if !q.sampled {
 		q.value -= q.value / idleDecayDivisor
@@ -208,9 +220,11 @@
 	q.sampled = false
 }
 
-// quantileStep is the step as a share of the value, before it is split.
+// quantileStep is the sum of the step up and the step down, as a fraction of the
+// estimate.
 const quantileStep = 1.0 / 16
 
+// observe adds a sample to the estimate of the quantile at, between 0 and 1.
 func (q *quantileEstimate) observe(d time.Duration, at float64) {
 	q.sampled = true
 	switch {
--- a/admission/limiter.go
+++ b/admission/limiter.go
@@ -1,13 +1,12 @@
-// Package admission decides which requests a backend server runs, which wait
-// and which are refused. It is a pure state machine: events and the time go
-// in, decisions come out; it does no I/O, reads no clock and starts no
-// goroutine.
+// Package admission decides which requests a backend server executes, queues or
+// refuses. It is a pure state machine: events and the time go in, decisions come
+// out. It does no I/O, reads no clock and starts no goroutine.
 //
-// A Guard stands beside one backend server. It holds a concurrency limit of
-// at most the declared slots, a short queue ordered by class and then by
-// deadline, and an admission level. The level goes back to callers on every
-// answer, so that requests below it are refused at the entry, before any work
-// is done for them.
+// A Limiter controls the load of one backend server. It has a concurrency limit of
+// at most the declared slots, a short queue ordered by class, completed work and
+// deadline, and an admission level. Every answer carries the level back to
+// callers, so that requests below it are refused at the entry node, before any
+// work is done for them.
 package admission
 
 import (
@@ -17,61 +16,65 @@
 	"github.com/umberthread/umberthread/rank"
 )
 
-// Mode chooses between the full policy and the baselines it is measured by.
+// Mode selects the admission policy: the full one or a simpler baseline for
+// comparison.
 type Mode uint8
 
 const (
-	// ModeFull applies limit, queue and level.
+	// ModeFull applies the adaptive limit, the queue and the admission level.
 	ModeFull Mode = iota
-	// ModeStatic applies the declared slots and a bounded FIFO-by-class queue only.
+	// ModeStatic applies only the declared slots and a bounded queue.
 	ModeStatic
 	// ModeOff admits everything at once.
 	ModeOff
 )
 
-// Options are the guard's settings.
+// Options configures a Limiter.
 type Options struct {
-	// Mode is the policy in force.
+	// Mode is the admission policy.
 	Mode Mode
 	// Slots is the backend server's declared concurrency, at least 1.
 	Slots int
-	// QueueMax is how many requests may wait.
+	// QueueMax is the maximum number of queued requests.
 	QueueMax int
-	// QueueWait is the longest that a request may wait; a service time that
-	// is much shorter makes it shorter, see waitFactor.
+	// QueueWait is the maximum time in the queue. A much shorter service time
+	// reduces it; see maxWaitFactor.
 	QueueWait time.Duration
-	// QueueTarget is the least mean wait above which the level rises; a long
-	// service time raises it, see targetFactor.
+	// QueueTarget is the minimum mean wait above which the level rises. A long
+	// service time increases it; see targetWaitFactor.
 	QueueTarget time.Duration
-	// Window is the period of the control loop.
+	// Window is the period of the level and limit adjustments.
 	Window time.Duration
 }
 
-// Request is what the guard needs to know of an arriving request.
+// Request describes an arriving request.
 type Request struct {
-	// Rank is the request's place in the order of shedding.
+	// Rank is the request's position in the shedding order.
 	Rank rank.Rank
-	// Depth is the work already behind the request: its hops, and the calls
-	// that its caller has made for it.
+	// Depth measures the work already done for the request: its hops and the
+	// calls that its caller has made for it.
 	Depth uint8
-	// Busy is set if a service further down is overloaded, so that work for
-	// a request that will not finish is taken from others.
+	// DownstreamOverloaded is set if a service further down is overloaded. The
+	// request then needs a typical service time left instead of a minimal one.
 	DownstreamOverloaded bool
-	// Kind indexes the estimate of the service time, below MaxKinds.
+	// Kind selects the service time estimate; the limiter uses it modulo
+	// MaxKinds.
 	Kind uint8
-	// Deadline is when the answer is worthless, on the guard's clock.
+	// Deadline is the time after which the answer is useless, on the limiter's
+	// clock.
 	Deadline time.Duration
 }
 
-// MaxKinds bounds the kinds with a service time estimate of their own.
+// MaxKinds is the number of service time estimates.
 const MaxKinds = 64
 
-// Waiter is a request in the queue. The caller owns it and passes the same
-// pointer back; Guard sets its fields.
+// Waiter is a queued request. The caller owns it and identifies it by its
+// pointer; Limiter sets its unexported fields.
 type Waiter struct {
-	// Request is the waiting request.
+	// Request is the queued request.
 	Request Request
-	// Wake is where the shell waits; the guard never touches it.
+	// Wake is the channel on which the caller waits for the result. Limiter does
+	// not use it.
 	Wake chan fault.Code
 
 	enqueuedAt    time.Duration
@@ -79,35 +82,34 @@
 	index         int
 }
 
-// GiveUp returns when the waiter's time in the queue is over.
+// QueueDeadline returns the time at which the waiter must leave the queue.
 func (w *Waiter) QueueDeadline() time.Duration { return w.queueDeadline }
 
-// Verdict is the answer to an arrival.
+// Verdict is the result of an arrival.
 type Verdict uint8
 
 const (
-	// Refuse means that the request must be refused, not run.
+	// Refused means that the request must not be executed.
 	Refused Verdict = iota
-	// Admit means that the request takes a slot now.
+	// Admitted means that the request takes a slot now.
 	Admitted
-	// Wait means that the request was queued.
+	// Enqueued means that the request waits in the queue.
 	Enqueued
 )
 
-// Decision is a verdict and its reason.
+// Decision is a verdict with its reason and side effect.
 type Decision struct {
-	// Verdict is what to do.
+	// Verdict is the result for the arriving request.
 	Verdict Verdict
-	// Code is the reason of a refusal.
+	// Code is the reason for a refusal.
 	Code fault.Code
-	// Evicted is a waiter of lower rank that lost its place, or nil. It must
-	// be refused with fault.Overload.
+	// Evicted is the waiter that lost its place to the request, or nil. The
+	// caller must refuse it with fault.Overload.
 	Evicted *Waiter
 }
 
-// Guard is the admission state of one backend server. It is not safe for
-// concurrent use: the shell holds one lock around each call, which takes
-// well under a microsecond.
+// Limiter is the admission state of one backend server. It is not safe for
+// concurrent use; the caller holds a lock around each call.
 type Limiter struct {
 	opt                Options
 	limit              float64
@@ -117,11 +119,11 @@
 	minServiceTime     [MaxKinds]quantileEstimate
 	typicalServiceTime [MaxKinds]quantileEstimate
 	search             limitSearch
-	// service is a moving mean of the time in the backend server.
+	// meanServiceTime is an exponential moving average of the service time.
 	meanServiceTime time.Duration
 }
 
-// New returns a guard with all slots free.
+// New returns a limiter with all slots free.
 func New(o Options) *Limiter {
 	l := &Limiter{}
 	l.SetOptions(o)
@@ -129,21 +131,21 @@
 	return l
 }
 
-// SetOptions takes over new settings; requests in flight are kept.
+// SetOptions applies new options. Requests in flight keep their slots.
 func (l *Limiter) SetOptions(o Options) {
 	o.Slots = max(o.Slots, 1)
 	o.Window = max(o.Window, time.Millisecond)
-	grown := o.Slots > l.opt.Slots
+	moreSlots := o.Slots > l.opt.Slots
 	l.opt = o
-	if grown || l.limit > float64(o.Slots) {
+	if moreSlots || l.limit > float64(o.Slots) {
 		l.limit = float64(o.Slots)
 	}
 }
 
-// Level returns the admission level in force.
+// Level returns the current admission level.
 func (l *Limiter) Level() rank.Level { return l.ctl.level }
 
-// Limit returns the concurrency limit in force.
+// Limit returns the current concurrency limit.
 func (l *Limiter) Limit() int { return int(l.limit) }
 
 // InFlight returns the number of slots taken.
@@ -152,8 +154,9 @@
 // Queued returns the number of waiting requests.
 func (l *Limiter) Queued() int { return len(l.queue) }
 
-// Arrive decides over a request. If the verdict is Wait, the guard keeps w
-// until it comes back from Done or Expire, or as Evicted.
+// Arrive decides on a request. If the verdict is Enqueued, the limiter retains w
+// until Finish or AdmitNext returns it, RemoveWaiter removes it, or a decision
+// names it as Evicted.
 func (l *Limiter) Arrive(now time.Duration, w *Waiter) Decision {
 	l.Tick(now)
 	r := w.Request
@@ -181,6 +184,8 @@
 	return l.enqueue(now, w)
 }
 
+// enqueue adds w to the queue. If the queue is full, w replaces the last waiter or
+// is refused.
 func (l *Limiter) enqueue(now time.Duration, w *Waiter) Decision {
 	var evicted *Waiter
 	if len(l.queue) >= l.opt.QueueMax {
@@ -197,9 +202,9 @@
 	return Decision{Verdict: Enqueued, Evicted: evicted}
 }
 
-// Expire takes a waiter out of the queue because its time is over or its
-// caller left. It reports false if the waiter has already been admitted or
-// evicted, in which case that verdict stands.
+// RemoveWaiter removes a waiter from the queue because its time is over or its
+// caller left. It returns false if the waiter has already been admitted, refused
+// or evicted; that result stands.
 func (l *Limiter) RemoveWaiter(now time.Duration, w *Waiter) bool {
 	if !l.queue.contains(w) {
 		return false
@@ -210,29 +215,30 @@
 	return true
 }
 
-// Outcome tells the guard how a request that held a slot ended.
+// Outcome describes how a request that held a slot ended.
 type Outcome struct {
-	// Kind is the request's kind index.
+	// Kind is the Kind of the request.
 	Kind uint8
-	// Took is the time in the backend server; zero if it never got there.
+	// ServiceTime is the time at the backend server, or zero if the request did
+	// not reach it.
 	ServiceTime time.Duration
-	// Expired is set if the request was given up after Took, so that Took is
-	// only the least that it would have needed.
+	// Expired is set if the request was abandoned, so that ServiceTime is only a
+	// lower bound.
 	Expired bool
-	// Pushback is set if the backend server itself signalled overload.
+	// Pushback is set if the backend server itself signaled overload.
 	Pushback bool
 }
 
-// Done frees the slot of a request and returns the waiter that takes it, or
-// nil. Waiters that can no longer finish in time are appended to late; they
-// must be refused with fault.Deadline.
+// Finish frees the slot of a request and returns the waiter that takes it, or nil.
+// Waiters that can no longer finish in time are appended to late; the caller must
+// refuse them with fault.Deadline.
 func (l *Limiter) Finish(now time.Duration, o Outcome, late []*Waiter) (*Waiter, []*Waiter) {
 	l.ctl.updateUtilization(now, l.inflight, l.limit)
-	full := l.inflight >= int(l.limit) && len(l.queue) > 0
+	saturated := l.inflight >= int(l.limit) && len(l.queue) > 0
 	l.inflight--
 	l.ctl.recordFinish()
 	l.recordServiceTime(o)
-	if full && o.ServiceTime > 0 && !o.Expired {
+	if saturated && o.ServiceTime > 0 && !o.Expired {
 		l.updateLimitSearch(now, o)
 	}
 	if o.Pushback && float64(l.inflight+1) >= pushbackMinUtilization*float64(l.opt.Slots) {
@@ -242,8 +248,8 @@
 	return l.admitWaiter(now, late)
 }
 
-// timed takes in a request that ran while all slots were taken, and follows the
-// search to the next limit at once.
+// updateLimitSearch records a request that finished under full load and applies a
+// change of the searched limit at once.
 func (l *Limiter) updateLimitSearch(now time.Duration, o Outcome) {
 	before := l.search.maxLimit(l.opt.Slots)
 	l.search.recordFinish(now, o.Kind, o.ServiceTime, l.opt.Slots)
@@ -252,7 +258,8 @@
 	}
 }
 
-// next admits the best waiter that can still finish, if a slot is free.
+// admitWaiter admits the first waiter that can still finish in time, if a slot is
+// free. Waiters that cannot are appended to late.
 func (l *Limiter) admitWaiter(now time.Duration, late []*Waiter) (*Waiter, []*Waiter) {
 	for l.inflight < int(l.limit) && len(l.queue) > 0 {
 		w := l.queue.pop()
@@ -267,14 +274,14 @@
 	return nil, late
 }
 
-// Next admits one more waiter after the limit has grown; the shell calls it
-// until it returns nil.
+// AdmitNext admits one more waiter after the limit has grown. The caller repeats
+// it until it returns nil, and refuses the waiters in late with fault.Deadline.
 func (l *Limiter) AdmitNext(now time.Duration, late []*Waiter) (*Waiter, []*Waiter) {
 	return l.admitWaiter(now, late)
 }
 
-// learn takes in how long a request took. One that was given up tells only
-// that its kind may need longer.
+// recordServiceTime updates the service time estimates. An expired request can
+// only raise the typical service time of its kind.
 func (l *Limiter) recordServiceTime(o Outcome) {
 	if o.ServiceTime <= 0 {
 		return
@@ -288,29 +295,29 @@
 	}
 	l.minServiceTime[i].observe(o.ServiceTime, minServiceQuantile)
 	l.typicalServiceTime[i].observe(o.ServiceTime, typicalServiceQuantile)
-	l.meanServiceTime += (o.ServiceTime - l.meanServiceTime) / meanServiceWeight
+	l.meanServiceTime += (o.ServiceTime - l.meanServiceTime) / meanServiceDivisor
 }
 
 const (
 	minServiceQuantile     = 0.1
 	typicalServiceQuantile = 0.75
-	// serviceKeep is the weight of the old mean service time.
-	meanServiceWeight = 32
-	// targetFactor is the mean wait, in service times, at which the slots are
-	// kept busy by chance arrivals without a queue that only adds latency.
+	// meanServiceDivisor is the divisor of a new sample in the mean service time.
+	meanServiceDivisor = 32
+	// targetWaitFactor is the target wait in mean service times. At this wait
+	// random arrivals keep the slots busy without needless queueing.
 	targetWaitFactor = 0.75
-	// waitFactor is the longest wait in service times.
+	// maxWaitFactor is the maximum wait in mean service times.
 	maxWaitFactor = 4
-	// minMaxWait is the least that the longest wait is shortened to.
+	// minMaxWait is the lower bound of a maximum wait reduced by maxWaitFactor.
 	minMaxWait = 50 * time.Millisecond
 )
 
-// target is the mean wait above which the level rises.
+// targetWait returns the mean wait above which the level rises.
 func (l *Limiter) targetWait() time.Duration {
 	return max(l.opt.QueueTarget, time.Duration(targetWaitFactor*float64(l.meanServiceTime)))
 }
 
-// maxWait is the longest that a request may wait.
+// maxWait returns the maximum time in the queue.
 func (l *Limiter) maxWait() time.Duration {
 	if l.opt.Mode != ModeFull || l.meanServiceTime == 0 {
 		return l.opt.QueueWait
@@ -323,9 +330,9 @@
 	l.inflight++
 }
 
-// need is the time that a request must have left to be worth running: a low
-// quantile of the service time of its kind, below which it will almost surely
-// not finish, or, where others wait for the slot, a high one.
+// requiredTime returns the time that must remain until the deadline for r to be
+// worth executing: the minimum service time of its kind, or the typical one while
+// others wait for a slot or a downstream service is overloaded.
 func (l *Limiter) requiredTime(r Request) time.Duration {
 	if l.opt.Mode != ModeFull {
 		return 0
@@ -337,8 +344,8 @@
 	return l.minServiceTime[i].value
 }
 
-// Tick closes the control window if it has passed. The guard calls it on
-// every event; the shell calls it when there is no traffic.
+// Tick closes the control window if it is complete. Arrive and Finish call it; the
+// caller calls it when there is no traffic.
 func (l *Limiter) Tick(now time.Duration) {
 	if l.opt.Mode != ModeFull || !l.ctl.windowComplete(now, l.opt.Window) {
 		return
@@ -352,19 +359,16 @@
 	l.ctl.closeWindow(now, l.opt.Window, l.targetWait(), l.maxWait())
 }
 
-// pushbackFrom is the share of the declared slots that must be taken for a
-// rejection to speak of overload. A server that turns requests away with most
-// of its slots free has another fault, which a lower limit does not mend: it
-// would only turn away what the server still takes.
+// pushbackMinUtilization is the minimum fraction of the declared slots in use for
+// pushback to count as overload. A server that rejects requests with most slots
+// free has another fault, which a lower limit does not cure.
 const pushbackMinUtilization = 0.5
 
-// limitDecrease is the factor by which the limit falls in a window in which
-// the backend server pushed back.
+// limitDecrease is the factor applied to the limit after a window with pushback.
 const limitDecrease = 0.9
 
-// adjustLimit moves the concurrency limit: down when the backend server says
-// that it is overloaded, up by one slot a window until what the search has
-// found, at most the declared slots.
+// adjustLimit lowers the concurrency limit after pushback; otherwise it raises it
+// by a sixteenth of the declared slots, at least one, up to the searched limit.
 func (l *Limiter) adjustLimit() {
 	slots := float64(l.opt.Slots)
 	if l.ctl.pushback {
--- a/admission/pushback_test.go
+++ b/admission/pushback_test.go
@@ -9,8 +9,9 @@
 	"github.com/umberthread/umberthread/rank"
 )
 
-// pushBack runs windows in which the backend server turns away half of the
-// requests, with so many slots taken at most, and returns the lowest limit.
+// lowestLimitUnderPushback simulates windows in which the backend server rejects
+// half of the requests, with at most taken slots in use, and returns the lowest
+// limit.
 func lowestLimitUnderPushback(taken int) int {
 	const slots = 40
 	g := New(Options{Slots: slots, QueueMax: 8, QueueWait: time.Second, QueueTarget: 3 * time.Millisecond, Window: 100 * time.Millisecond})
@@ -31,14 +32,15 @@
 	return lowest
 }
 
-// TestRejectionsWithFreeSlotsAreNoOverload replays a server with a fault that
-// turns away half of its requests whatever its load; lowering the limit would
-// only turn away what it still takes.
+// TestPushbackWithFreeSlotsKeepsLimit guards against a lower limit for a server
+// that rejects requests regardless of its load: the limit would only refuse
+// requests that the server still accepts.
 func TestPushbackWithFreeSlotsKeepsLimit(t *testing.T) {
 	gomega.NewWithT(t).Expect(lowestLimitUnderPushback(8)).To(gomega.Equal(40))
 }
 
-// TestRejectionsUnderLoadLowerTheLimit: the same with the slots taken.
+// TestPushbackUnderLoadLowersLimit checks that rejections with all slots taken
+// count as overload.
 func TestPushbackUnderLoadLowersLimit(t *testing.T) {
 	gomega.NewWithT(t).Expect(lowestLimitUnderPushback(40)).To(gomega.BeNumerically("<", 30))
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -5,7 +5,7 @@
 // notQueued is the index of a waiter outside the queue.
 const notQueued = -1
 
-// waitQueue is a heap of waiters in the order of Waiter.before.
+// waitQueue is a heap of waiters ordered by servedBefore.
 type waitQueue []*Waiter
 
 // Len implements heap.Interface.
@@ -21,14 +21,14 @@
 	q[j].index = j
 }
 
-// Push implements heap.Interface; use push.
+// Push implements heap.Interface; callers use push.
 func (q *waitQueue) Push(x any) {
 	w := x.(*Waiter)
 	w.index = len(*q)
 	*q = append(*q, w)
 }
 
-// Pop implements heap.Interface; use pop.
+// Pop implements heap.Interface; callers use pop.
 func (q *waitQueue) Pop() any {
 	old := *q
 	n := len(old) - 1
@@ -39,8 +39,8 @@
 	return w
 }
 
-// before orders waiters: the higher class first, then the one for which more
-// work was done, then the earlier deadline.
+// servedBefore reports whether w is served before o: by class, then by completed
+// work, then by earlier deadline.
 func (w *Waiter) servedBefore(o *Waiter) bool {
 	if w.outranks(o) || o.outranks(w) {
 		return w.outranks(o)
@@ -48,7 +48,7 @@
 	return w.Request.Deadline < o.Request.Deadline
 }
 
-// outranks tells whether w takes the place of o in a full queue.
+// outranks reports whether w may evict o from a full queue.
 func (w *Waiter) outranks(o *Waiter) bool {
 	wc, oc := w.Request.Rank.Class(), o.Request.Rank.Class()
 	if wc != oc {
@@ -67,14 +67,14 @@
 	return w.index >= 0 && w.index < len(q) && q[w.index] == w
 }
 
-// lowest returns the waiter that would be served last. The queue is short,
-// so a scan is cheaper than a second heap.
+// last returns the waiter that is served last, or nil. The queue is short, so a
+// scan is cheaper than a second heap.
 func (q waitQueue) last() *Waiter {
-	var low *Waiter
+	var last *Waiter
 	for _, w := range q {
-		if low == nil || low.servedBefore(w) {
-			low = w
+		if last == nil || last.servedBefore(w) {
+			last = w
 		}
 	}
-	return low
+	return last
 }
--- a/admission/search.go
+++ b/admission/search.go
@@ -3,67 +3,65 @@
 import "time"
 
 const (
-	// searchSteps divides the declared slots: the limit is searched among the
-	// whole and what is left when one to maxDown steps are taken away.
+	// limitSteps is the number of steps that divide the declared slots. The
+	// searched limit is zero to maxStepsDown steps below the declared slots.
 	limitSteps   = 16
 	maxStepsDown = 4
-	// searchFrom is the least number of slots for which a step is a slot.
+	// minSearchSlots is the minimum number of slots for a search: a step is then
+	// at least one slot.
 	minSearchSlots = limitSteps
-	// epochFinishes is how many requests are timed at one limit. Times within a
-	// kind differ by about half of their mean, so that the mean of as many is
-	// right to 4%.
+	// samplesPerLimit is the number of requests measured at each limit. It keeps
+	// the error of the mean below minImprovement.
 	samplesPerLimit = 192
-	// margin is by how much a limit must finish more than a higher one to be
-	// kept: about the error of a comparison.
+	// minImprovement is the relative gain in throughput that a lower limit must
+	// show over a higher one. It covers the error of a comparison.
 	minImprovement = 0.06
-	// searchRest is the time between two trials that changed nothing. A trial
-	// takes a sixteenth of the slots for a fraction of a second.
+	// trialInterval is the pause after a trial, unless a step down succeeded.
 	trialInterval = 4 * time.Second
-	// clip bounds what one request counts, in means of its kind.
+	// maxRelativeTime caps the contribution of one request, in means of its kind.
 	maxRelativeTime = 3.0
-	// meanKeep is the weight of the old mean time of a kind.
+	// meanSamples is the number of samples over which the mean service time of a
+	// kind is averaged.
 	meanSamples = 64
 )
 
-// limitSearch finds the concurrency at which a backend server finishes most.
+// limitSearch finds the concurrency limit with the highest throughput. A saturated
+// backend server that slows down when nearly full finishes more with fewer slots.
 //
-// The load that it answers: demand beyond the capacity, so that every slot is
-// taken, at a server that gets slower when it is nearly full. At 28 of 29 slots
-// or more one third slower, it finishes a fifth more with 27; and calls that
-// stand eight in a row behind one request do not take a third longer each.
-//
-// It compares the mean times, each as a share of its kind's mean, at two limits
-// one after the other while all slots are taken: by Little's law the one with
-// the higher quotient of limit and time finishes more. It goes back up whenever
-// a trial does not show the contrary again, so that a server which was slow for
-// another reason gets its slots back.
+// It compares the mean relative service times at two limits, one after the other,
+// while all slots are taken: by Little's law the limit with the higher quotient of
+// limit and time has the higher throughput. It returns to the higher limit unless
+// a trial confirms the lower one, so that a server that was slow for another
+// reason regains its slots.
 type limitSearch struct {
 	stepsDown int
 	trialStep int
-	// skip is how many finishes are still of requests begun at another limit.
+	// skipFinishes is the number of next finishes to ignore, as those requests
+	// started at another limit.
 	skipFinishes    int
 	samples         int
 	relativeTimeSum float64
-	// held is the mean time at the limit before the trial.
+	// baselineTime is the mean relative time at the limit before the trial.
 	baselineTime float64
-	// restUntil is when the next trial may begin.
+	// nextTrial is the earliest start of the next trial.
 	nextTrial time.Duration
-	// deeper is set after a step down that was kept: the next may help too.
+	// continueDown is set after a successful step down, to try another.
 	continueDown bool
 	kindMeans    [MaxKinds]kindMean
 }
 
-// kindMean is the mean time of a request kind.
+// kindMean is the mean service time of a request kind.
 type kindMean struct {
 	samples int
 	mean    time.Duration
 }
 
-// ceiling is the limit that the search has come to, trials included.
+// maxLimit returns the limit under test, or the best known one between trials.
 func (s *limitSearch) maxLimit(slots int) float64 {
 	return s.limitAfterSteps(slots, s.stepsDown+s.trialStep)
 }
 
+// limitAfterSteps returns the limit that is down steps below slots.
 func (s *limitSearch) limitAfterSteps(slots, down int) float64 {
 	if slots < minSearchSlots {
 		return float64(slots)
@@ -71,7 +69,7 @@
 	return float64(slots - (slots*down+limitSteps-1)/limitSteps)
 }
 
-// finish takes in a request that was run to its end while all slots were taken.
+// recordFinish records a request that finished while all slots were taken.
 func (s *limitSearch) recordFinish(now time.Duration, kind uint8, took time.Duration, slots int) {
 	if slots < minSearchSlots {
 		return
@@ -98,8 +96,9 @@
 	s.finishTrial(now, mean, slots)
 }
 
-// share returns a request's time as a share of its kind's mean. The means stand
-// still during a trial, so that both sides of a comparison have the same.
+// relativeTime returns a service time as a multiple of its kind's mean, or false
+// until the mean has enough samples. The means are frozen during a trial, so that
+// both sides of a comparison use the same.
 func (s *limitSearch) relativeTime(kind uint8, took time.Duration) (float64, bool) {
 	m := &s.kindMeans[kind%MaxKinds]
 	known := m.samples >= meanSamples/4
@@ -113,8 +112,8 @@
 	return float64(took) / float64(m.mean), true
 }
 
-// begin starts a trial: up where the limit is lowered, unless a further step
-// down is due.
+// startTrial starts a trial of a higher limit if the limit is lowered, or of a
+// lower one if it is not or the last step down succeeded.
 func (s *limitSearch) startTrial(now time.Duration, mean float64, slots int) {
 	if now < s.nextTrial {
 		return
@@ -130,15 +129,15 @@
 	s.skipFinishes = slots
 }
 
-// judge ends a trial.
+// finishTrial compares the trial with the baseline and keeps the better limit.
 func (s *limitSearch) finishTrial(now time.Duration, mean float64, slots int) {
 	higher, lower := s.limitAfterSteps(slots, s.stepsDown), s.limitAfterSteps(slots, s.stepsDown+s.trialStep)
-	slow, fast := s.baselineTime, mean
+	higherTime, lowerTime := s.baselineTime, mean
 	if s.trialStep < 0 {
 		higher, lower = lower, higher
-		slow, fast = fast, slow
+		higherTime, lowerTime = lowerTime, higherTime
 	}
-	lowerIsBetter := lower/fast > (1+minImprovement)*higher/slow
+	lowerIsBetter := lower/lowerTime > (1+minImprovement)*higher/higherTime
 	if lowerIsBetter == (s.trialStep > 0) {
 		s.stepsDown += s.trialStep
 		s.continueDown = s.trialStep > 0
@@ -150,8 +149,8 @@
 	s.skipFinishes = slots
 }
 
-// interrupt gives up a trial: the server turned requests away, so that its times
-// cannot be compared.
+// abortTrial abandons a trial after pushback: rejected requests make the service
+// times incomparable.
 func (s *limitSearch) abortTrial() {
 	s.samples, s.relativeTimeSum = 0, 0
 	s.trialStep = 0
--- a/admission/search_test.go
+++ b/admission/search_test.go
@@ -11,16 +11,17 @@
 	"github.com/umberthread/umberthread/rank"
 )
 
-// nearlyFull is a backend server in virtual time, and the demand on it.
+// saturatingServer is a backend server in virtual time with its load.
 type saturatingServer struct {
 	slots int
 	work  time.Duration
-	// knee is the share of the slots above which a request that begins takes
+	// knee is the fraction of the slots above which a starting request takes
 	// slowdown times as long.
 	knee, slowdown float64
-	// slowFrom and slowTo are when all requests take three times as long.
+	// slowFrom and slowTo delimit the period in which requests take three times as
+	// long.
 	slowFrom, slowTo time.Duration
-	// arrivals are how many requests come in a second.
+	// arrivals is the number of requests per second.
 	arrivals float64
 }
 
@@ -43,9 +44,10 @@
 	return x
 }
 
-// play returns how many requests a second were finished in the second half, and
-// the share of that time in which the limit was the declared one.
-func (s saturatingServer) simulate(seed uint64, lasts time.Duration) (finished, whole float64) {
+// simulate returns the requests finished per second in the second half of the run,
+// and the fraction of those that finished while the limit equaled the declared
+// slots.
+func (s saturatingServer) simulate(seed uint64, duration time.Duration) (finished, atDeclared float64) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	g := New(Options{Slots: s.slots, QueueMax: 128, QueueWait: time.Second, QueueTarget: 3 * time.Millisecond, Window: 100 * time.Millisecond})
 	var running executionHeap
@@ -63,19 +65,19 @@
 		heap.Push(&running, execution{now + took, took, w.Request.Kind})
 	}
 	next := time.Duration(0)
-	count, full, looked := 0, 0, 0
-	for now := time.Duration(0); now < lasts; {
+	count, declaredCount, total := 0, 0, 0
+	for now := time.Duration(0); now < duration; {
 		if len(running) > 0 && running[0].ends <= next {
 			r := heap.Pop(&running).(execution)
 			now = r.ends
 			if w, _ := g.Finish(now, Outcome{Kind: r.kind, ServiceTime: r.took}, nil); w != nil {
 				begin(now, w)
 			}
-			if now > lasts/2 {
+			if now > duration/2 {
 				count++
-				looked++
+				total++
 				if g.Limit() == s.slots {
-					full++
+					declaredCount++
 				}
 			}
 			continue
@@ -87,24 +89,23 @@
 			begin(now, w)
 		}
 	}
-	return float64(count) / (lasts / 2).Seconds(), float64(full) / float64(max(1, looked))
+	return float64(count) / (duration / 2).Seconds(), float64(declaredCount) / float64(max(1, total))
 }
 
-// TestAServerThatSlowsDownWhenNearlyFullFinishesMore replays demand of 1.3
-// times the capacity: with all 29 slots taken each request takes 1.3 times as
-// long; 27 finish more.
+// TestLimitSearchRaisesThroughputOfSaturatingServer checks that the search finds a
+// lower limit with more throughput for a server that slows down when nearly full.
 func TestLimitSearchRaisesThroughputOfSaturatingServer(t *testing.T) {
 	for _, slots := range []int{29, 43, 121} {
 		g := gomega.NewWithT(t)
 		s := saturatingServer{slots: slots, work: 30 * time.Millisecond, knee: 0.95, slowdown: 1.3}
-		// Two kinds of one and one and a half times the work.
+		// Two request kinds, with 1 and 1.5 times the work.
 		capacity := float64(slots) / s.slowdown / (1.25 * s.work.Seconds())
 		s.arrivals = 1.6 * capacity
 		sum := 0.0
 		const seeds = 5
 		for seed := range uint64(seeds) {
 			finished, _ := s.simulate(seed, 30*time.Second)
-			t.Logf("slots %d, seed %d: %.3f of what all slots finish", slots, seed, finished/capacity)
+			t.Logf("slots %d, seed %d: throughput %.3f of that with all slots", slots, seed, finished/capacity)
 			g.Expect(finished/capacity).To(gomega.BeNumerically(">", 1.05), "slots %d, seed %d", slots, seed)
 			sum += finished / capacity
 		}
@@ -112,8 +113,8 @@
 	}
 }
 
-// TestAServerThatDoesNotSlowDownKeepsItsSlots: the trials cost next to nothing,
-// and a server that was slow for another reason gets its slots back.
+// TestLimitSearchKeepsSlotsOfSteadyServer checks that trials cost little
+// throughput, and that a server that was temporarily slow regains its slots.
 func TestLimitSearchKeepsSlotsOfSteadyServer(t *testing.T) {
 	for _, slots := range []int{29, 118} {
 		for _, slow := range []time.Duration{0, 3 * time.Second} {
@@ -122,10 +123,10 @@
 			capacity := float64(slots) / (1.25 * s.work.Seconds())
 			s.arrivals = 1.6 * capacity
 			for seed := range uint64(5) {
-				finished, whole := s.simulate(seed, 40*time.Second)
-				t.Logf("slots %d, slow %v, seed %d: %.3f of the capacity, %.2f of the time whole", slots, slow, seed, finished/capacity, whole)
+				finished, atDeclared := s.simulate(seed, 40*time.Second)
+				t.Logf("slots %d, slow %v, seed %d: throughput %.3f of the capacity, declared limit at %.2f of the finishes", slots, slow, seed, finished/capacity, atDeclared)
 				g.Expect(finished/capacity).To(gomega.BeNumerically(">", 0.93), "slots %d, seed %d", slots, seed)
-				g.Expect(whole).To(gomega.BeNumerically(">", 0.6), "slots %d, seed %d", slots, seed)
+				g.Expect(atDeclared).To(gomega.BeNumerically(">", 0.6), "slots %d, seed %d", slots, seed)
 			}
 		}
 	}
