--- a/budget/budget.go
+++ b/budget/budget.go
@@ -1,34 +1,35 @@
-// Package budget bounds the retries of one request over its whole tree of
-// calls, and the share that retries may have of a service's load.
+// Package budget limits the retries of one request across its whole call tree, and
+// the ratio of retries to first attempts per service.
 //
-// The node that holds a request owns a Pool. Before it sends an attempt to
-// another node it leases part of the pool to that attempt; the answer brings
-// back how much of the lease was spent below. A lease whose answer is lost
-// counts as spent, so the sum over the tree never exceeds the first pool.
+// The node that holds a request owns a Pool. Before it sends an attempt to another
+// node, it leases part of the pool to the attempt; the answer reports how much of
+// the lease was spent. A lease whose answer is lost counts as spent, so the total
+// over the tree never exceeds the initial pool.
 package budget
 
 import "sync/atomic"
 
-// Pool is the retry budget that one node holds for one request. It is safe
-// for concurrent use by the calls that the request makes in parallel.
+// Pool is the retry budget that one node holds for one request. It is safe for
+// concurrent use by the request's parallel calls.
 type Pool struct {
 	left  atomic.Int32
 	spent atomic.Int32
 }
 
-// Reset makes the pool hold n retries, none spent.
+// Reset sets the pool to n remaining retries and none spent.
 func (p *Pool) Reset(n int) {
 	p.left.Store(int32(n))
 	p.spent.Store(0)
 }
 
-// Left returns how many retries remain.
+// Remaining returns the number of retries left.
 func (p *Pool) Remaining() int { return int(p.left.Load()) }
 
-// Spent returns how many retries were used here or below.
+// Spent returns the number of retries used by this node and by calls under its
+// leases, including forfeited leases.
 func (p *Pool) Spent() int { return int(p.spent.Load()) }
 
-// Spend takes one retry; false if none is left.
+// TrySpend takes one retry, or returns false if none is left.
 func (p *Pool) TrySpend() bool {
 	if p.tryTake(1) == 0 {
 		return false
@@ -37,14 +38,13 @@
 	return true
 }
 
-// keptShare is the part of a pool that stays with the node that leases the
-// rest to a call below: of 24 retries, the node three calls further down has 9,
-// for all the calls that are made there; of halves it would have 3.
+// retainedDivisor is the divisor of the part of the pool that a lease leaves to
+// this node. A quarter, rather than half, leaves more retries to deep calls.
 const retainedDivisor = 4
 
-// Lease takes three quarters of what is left, rounded down, for a call below.
-// What stays, at least one, pays for this node's own retry if the answer is
-// lost, and for the calls made beside this one.
+// Lease takes three quarters of the remaining retries, rounded down, for a call to
+// another node. The rest, at least one if any remained, pays for a retry if the
+// answer is lost and for parallel calls.
 func (p *Pool) Lease() int {
 	for {
 		left := p.left.Load()
@@ -58,9 +58,9 @@
 	}
 }
 
-// Settle ends a lease of n of which the call below reports spent as used.
-// A report out of range counts as all spent: the other side is not trusted
-// with more than it was given.
+// SettleLease ends a lease of n retries of which the call reports spent as used. A
+// spent value out of range counts as n, as the other node is not trusted with more
+// than its lease.
 func (p *Pool) SettleLease(n, spent int) {
 	if spent < 0 || spent > n {
 		spent = n
@@ -69,9 +69,11 @@
 	p.left.Add(int32(n - spent))
 }
 
-// Lose ends a lease whose answer never came: all of it counts as spent.
+// ForfeitLease ends a lease of n retries whose answer was lost; all of it counts as
+// spent.
 func (p *Pool) ForfeitLease(n int) { p.SettleLease(n, n) }
 
+// tryTake takes n retries and returns n, or 0 if fewer remain.
 func (p *Pool) tryTake(n int32) int32 {
 	for {
 		left := p.left.Load()
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// tree runs one request over a random tree of calls, in which each node
-// retries as often as its pool lets it, and attempts fail after all their work
-// is done. It returns the retries that really happened.
+// runCallTree runs one request over a random call tree in which each node retries
+// as its pool allows and attempts fail only after their nested calls. It returns
+// the number of retries made.
 func runCallTree(t *rapid.T, p *Pool, depth int, lose func(p *Pool, lease int)) int {
 	retries := 0
 	calls := rapid.IntRange(0, 3).Draw(t, "calls")
@@ -52,8 +52,8 @@
 	})
 }
 
-// TestLostLeaseGivenBackIsFound shows that the check finds a pool that takes
-// back a lease whose answer was lost.
+// TestBudgetCheckDetectsRefundedLostLease checks that returning a lost lease to the
+// pool exceeds the budget.
 func TestBudgetCheckDetectsRefundedLostLease(t *testing.T) {
 	found := false
 	rapid.Check(t, func(t *rapid.T) {
@@ -64,7 +64,7 @@
 		found = found || runCallTree(t, &p, 4, giveBack) > budget
 	})
 	if !found {
-		t.Fatal("no check failed")
+		t.Fatal("no budget was exceeded")
 	}
 }
 
--- a/budget/throttle_test.go
+++ b/budget/throttle_test.go
@@ -11,15 +11,14 @@
 	"github.com/umberthread/umberthread/rank"
 )
 
-// limits are a fifth of a window, less what the sum over nodes may be more.
+// testLimits sets a ratio below a fifth, as the sum over nodes may exceed the ratio.
 var testLimits = Limits{Ratio: 0.16, Window: 10 * time.Second, Burst: 1}
 
-// top is a rank that no scarcity short of an empty budget denies.
+// topRank is the highest rank, which only an exhausted budget denies.
 const topRank = rank.Count - 1
 
-// TestShareBoundsRetries checks, for random loads and at every moment, that the
-// retries of the window until then are within the ratio of the better of the
-// two windows, each counted to a slice.
+// TestThrottleBoundsRetryRatio checks for random loads that the retries of a window
+// never exceed the ratio of the first attempts that fund them.
 func TestThrottleBoundsRetryRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Throttle
@@ -44,7 +43,7 @@
 					retries = append(retries, now)
 				}
 			}
-			// Two slices are counted in part.
+			// Two slices are counted partially.
 			around := testLimits.Window + 2*testLimits.Window/slicesPerWindow
 			paid := max(
 				count(firsts, now-around, now),
@@ -52,7 +51,7 @@
 				count(firsts, now-2*around, now-testLimits.Window+testLimits.Window/slicesPerWindow),
 			)
 			if got := count(retries, now-testLimits.Window, now); float64(got) > testLimits.Ratio*float64(paid)+float64(testLimits.Burst) {
-				t.Fatalf("%d retries in a window, %d first attempts paid for them", got, paid)
+				t.Fatalf("%d retries in a window funded by %d first attempts", got, paid)
 			}
 		}
 	})
@@ -69,7 +68,7 @@
 		granted++
 	}
 	g.Expect(granted).To(gomega.BeNumerically("~", 160, 2))
-	g.Expect(s.AllowRetry(40*time.Second, topRank, testLimits)).To(gomega.BeTrue(), "the burst is there again")
+	g.Expect(s.AllowRetry(40*time.Second, topRank, testLimits)).To(gomega.BeTrue(), "the burst is available again")
 	g.Expect(s.AllowRetry(40*time.Second, topRank, testLimits)).To(gomega.BeFalse(), "nothing was sent for two windows")
 }
 
@@ -96,7 +95,7 @@
 	}
 	g.Expect(granted[rank.Protected]).To(gomega.BeNumerically(">=", asked[rank.Protected]*95/100))
 	g.Expect(granted[rank.Normal]).To(gomega.BeNumerically("<", asked[rank.Normal]/4))
-	g.Expect(granted[rank.Normal]).To(gomega.BeNumerically(">", 0), "what is left is used")
+	g.Expect(granted[rank.Normal]).To(gomega.BeNumerically(">", 0), "remaining retries are used")
 }
 
 func TestFewFailuresAreRetriedAtAnyRank(t *testing.T) {
@@ -121,42 +120,40 @@
 		s.RecordRetry(time.Second, testLimits)
 	}
 	g.Expect(s.AllowRetry(time.Second, topRank, testLimits)).To(gomega.BeFalse())
-	g.Expect(s.AllowRetry(12*time.Second, topRank, testLimits)).To(gomega.BeTrue(), "they have left the window")
+	g.Expect(s.AllowRetry(12*time.Second, topRank, testLimits)).To(gomega.BeTrue(), "recorded retries have left the window")
 }
 
-// chained is a request that makes calls to one service one after the other.
+// chainedRequest is a request that makes sequential calls to one service.
 type chainedRequest struct {
 	rank      rank.Rank
 	callsLeft int
 	pool      int
-	share     *Throttle
+	throttle  *Throttle
 }
 
-// shedding replays a service all of whose backend servers turn away a share of
-// the requests for some seconds, while requests that make four calls to it go
-// on at the load of a busy day.
+// sheddingModel simulates a service whose backend servers all reject a fraction of
+// the requests for some seconds, under a load of requests that make four calls each.
 type sheddingModel struct {
 	rng  *rand.Rand
 	now  int // ms
 	pool int
-	// even makes all requests rank alike.
+	// equalRanks gives all requests of a class the same rank.
 	equalRanks               bool
-	shares                   [4]Throttle
+	throttles                [4]Throttle
 	pending                  map[int][]*chainedRequest
 	sheddingFrom, sheddingTo int
-	retries                  map[int]int // second -> attempts beyond the first
+	retries                  map[int]int // by second
 	firstAttempts            map[int]int
 	asked                    map[rank.Class]int
 	served                   map[rank.Class]int
 }
 
 const (
-	// shedShare is the share of the requests that the servers turn away.
+	// rejectionRatio is the fraction of requests that the servers reject.
 	rejectionRatio = 0.55
-	// poolThere is what is left of 24 retries of a request for these calls, as
-	// they are made three calls further down.
+	// remainingBudget is the retry budget left of 24 after three nested leases.
 	remainingBudget = 9
-	// callsEach is how many calls a request makes.
+	// callsPerRequest is the number of sequential calls of a request.
 	callsPerRequest = 4
 	callDurationMs  = 20
 )
@@ -165,7 +162,7 @@
 	for n := perSecond / 1000; s.rng.Float64() < n; n-- {
 		c := &chainedRequest{
 			rank: rank.Make(class, uint8(s.rng.IntN(rank.Cohorts))), callsLeft: callsPerRequest, pool: s.pool,
-			share: &s.shares[s.rng.IntN(len(s.shares))],
+			throttle: &s.throttles[s.rng.IntN(len(s.throttles))],
 		}
 		if s.isShedding() {
 			s.asked[class]++
@@ -181,10 +178,10 @@
 
 func (s *sheddingModel) call(c *chainedRequest) {
 	at := time.Duration(s.now) * time.Millisecond
-	c.share.RecordFirstAttempt(at, testLimits)
+	c.throttle.RecordFirstAttempt(at, testLimits)
 	s.firstAttempts[s.now/1000]++
 	for s.isShedding() && s.rng.Float64() < rejectionRatio {
-		if c.pool == 0 || !c.share.AllowRetry(at, c.rank, testLimits) {
+		if c.pool == 0 || !c.throttle.AllowRetry(at, c.rank, testLimits) {
 			return
 		}
 		c.pool--
@@ -215,20 +212,21 @@
 	return s
 }
 
-// servedShare is the share of a class that was served while the servers shed.
+// servedRatio returns the fraction of a class served while the servers shed load.
 func (s *sheddingModel) servedRatio(c rank.Class) float64 {
 	return float64(s.served[c]) / float64(s.asked[c])
 }
 
-// TestSheddingServiceSavesWholeRequests: without retries one in 24 is served.
+// TestThrottleCompletesWholeRequestsDuringShedding guards against retries spread so
+// thinly that hardly any request completes all its calls.
 func TestThrottleCompletesWholeRequestsDuringShedding(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s, even, one := simulateShedding(remainingBudget, false), simulateShedding(remainingBudget, true), simulateShedding(1, false)
-	t.Logf("protected requests served: %.3f, %.3f where all rank alike, %.3f with one retry each",
+	t.Logf("protected requests served: %.3f, %.3f with equal ranks, %.3f with one retry each",
 		s.servedRatio(rank.Protected), even.servedRatio(rank.Protected), one.servedRatio(rank.Protected))
 	g.Expect(s.servedRatio(rank.Protected)).To(gomega.BeNumerically(">", 0.4))
 	g.Expect(one.servedRatio(rank.Protected)).To(gomega.BeNumerically("<", 0.2))
-	// The bound of the whole fleet holds in every window.
+	// The bound over all nodes holds in every window.
 	for second := range 22 {
 		extra, paid, before := 0, 0, 0
 		for i := range 10 {
@@ -236,6 +234,6 @@
 			paid += s.firstAttempts[second-i]
 			before += s.firstAttempts[second-i-10]
 		}
-		g.Expect(extra).To(gomega.BeNumerically("<=", max(paid, before)/5+len(s.shares)))
+		g.Expect(extra).To(gomega.BeNumerically("<=", max(paid, before)/5+len(s.throttles)))
 	}
 }
