--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,10 +1,8 @@
-// Package retry decides whether a call that failed is sent once more, and when a
-// caller that was turned away may come back. It is pure: what is known of the call
-// and its failure goes in, a verdict comes out.
+// Package retry decides whether to retry a failed call, and when a refused caller may
+// retry. It is pure: it does no I/O and keeps no state.
 //
-// The load that it answers: services that turn work away, hang or are restarted while
-// demand is high. A call is sent once more only where another backend server may do
-// better and where it is safe: it certainly was not run, or may run twice.
+// A call is retried only if another backend server may succeed and a retry is safe:
+// the call was certainly not executed, or it is idempotent.
 package retry
 
 import (
@@ -14,49 +12,51 @@
 	"github.com/umberthread/umberthread/rank"
 )
 
-// Call is what is known of a call after an attempt.
+// Call describes a call after an attempt.
 type Call struct {
-	// Replayable tells whether the call can be sent again at all.
+	// Replayable tells whether the call can be sent again; a streamed body cannot.
 	Replayable bool
-	// Idempotent tells whether it may run more than once.
+	// Idempotent tells whether the call may be executed more than once.
 	Idempotent bool
-	// Attempts counts the attempts, and Free those that cost no retry.
+	// Attempts counts the attempts, and Uncharged the retries that were not charged to
+	// the budget.
 	Attempts, Uncharged int
-	// Offered is how many backend servers were offered the call, and OfferMax how
-	// many may be, 0 for any number.
+	// Offered is the number of backend servers to which the call was offered, and
+	// MaxOffered the maximum, 0 for no limit.
 	Offered, MaxOffered int
-	// Ends is how many backend servers are known to have ended, or to have broken
-	// off, while they ran it or requests like it.
+	// Terminations is the number of backend servers known to have terminated, or
+	// broken off, while they executed the call or requests like it.
 	Terminations int
 }
 
-// Failure is why an attempt failed. Its zero value is an answer of the backend server
-// that says so.
+// Failure describes a failed attempt. With the zero Code, the backend server itself
+// answered that the call failed.
 type Failure struct {
 	Code fault.Code
-	// Run tells whether the call may have run.
+	// Execution tells whether the call may have been executed.
 	Execution fault.Run
-	// Chosen tells whether an instance was chosen for the attempt.
+	// InstanceChosen tells whether an instance was chosen for the attempt.
 	InstanceChosen bool
 }
 
-// Verdict is what to do after a failed attempt.
+// Verdict is the decision after a failed attempt.
 type Verdict uint8
 
 const (
 	// GiveUp ends the call.
 	GiveUp Verdict = iota
-	// Free sends it once more at no cost: no backend server saw it.
+	// RetryUncharged retries the call without charging the retry budgets, as no
+	// backend server received it.
 	RetryUncharged
-	// Paid sends it once more if the retry budgets pay for it.
+	// RetryCharged retries the call if the retry budgets allow it.
 	RetryCharged
 )
 
-// maxFree is how often a call is sent to another node at no cost: a leaving instance
-// is heard of late, and rarely two in a row.
+// maxUncharged is the maximum number of uncharged retries of a call. News of a
+// draining instance arrives late, but rarely for several instances in a row.
 const maxUncharged = 3
 
-// Decide returns whether to send a call once more.
+// Decide returns whether to retry a call after a failure.
 func Decide(c Call, f Failure) Verdict {
 	switch {
 	case !c.Replayable:
@@ -76,12 +76,13 @@
 	}
 }
 
-// maxEnds is how many backend servers may have ended under a call that is sent once
-// more. One that ends each server that runs it would else end all that it may be sent to.
+// maxTerminations is the maximum number of terminations after which a call is retried
+// that was lost with a backend server while it may have been executed. It limits the
+// damage of a request that crashes every backend server that executes it.
 const maxTerminations = 1
 
-// helps tells whether another instance may do better. The refusal of an overloaded
-// one is tried once at another, by the node that chose it and by none above it.
+// otherInstanceMayHelp reports whether another instance may succeed. After a refusal
+// by an overloaded instance, only the node that chose the instance tries one other.
 func otherInstanceMayHelp(c Call, f Failure) bool {
 	switch f.Code {
 	case fault.Overload, fault.QueueTimeout:
@@ -95,8 +96,8 @@
 	}
 }
 
-// neverOffered tells whether a failed attempt certainly ended before any backend
-// server, so that trying another makes no load for any.
+// neverReachedServer reports whether a failed attempt certainly reached no backend
+// server, so that a retry adds no load to any.
 func neverReachedServer(f Failure) bool {
 	if f.Code == fault.None || f.Execution != fault.RunNo {
 		return false
@@ -109,9 +110,9 @@
 	}
 }
 
-// mayGoOn tells whether another backend server may be asked. Where the call has been
-// sent to as many as it may, one that turned it away may be asked again: one that
-// turns away half of the requests takes the next with the same chance.
+// mayOfferAgain reports whether the call may be offered to a backend server again. At
+// the maximum, only a rejected call may be: a server that rejects a fraction of the
+// requests may accept the next one.
 func mayOfferAgain(c Call, f Failure) bool {
 	if c.MaxOffered == 0 || c.Offered < c.MaxOffered {
 		return true
@@ -120,33 +121,35 @@
 }
 
 const (
-	// comeBackMin is the shortest time given to a caller to come back.
+	// minRetryAfter is the mean delay at level zero.
 	minRetryAfter = 200 * time.Millisecond
-	// ComeBackMax is the longest mean time, at a level that sheds everything.
+	// MaxRetryAfter is the mean delay at a level that sheds everything.
 	MaxRetryAfter = 4 * time.Second
-	// comeBackShare is the mean share of the objective after which a caller that
-	// was turned away for load may come back: at most half of it is gone then.
+	// retryAfterFraction is the maximum mean delay after a refusal for load, as a
+	// fraction of the request's objective. With jitter it is at most half of it.
 	retryAfterFraction = 1.0 / 3
 )
 
-// ComeBack returns when a refused caller may come back: the longer the more is being
-// shed at the level, spread over half to one and a half of that time so that callers
-// do not return together. Draw is uniform in [0, 1).
+// RetryAfter returns the delay after which a refused caller may retry. It grows with
+// the level and is spread over 0.5 to 1.5 times its mean, so that callers do not retry
+// in sync. draw is uniform in [0, 1).
 func RetryAfter(l rank.Level, draw float64) time.Duration { return jitter(meanRetryAfter(l), draw) }
 
-// ComeBackInTime is ComeBack for a request that was turned away for load: it comes
-// back with another place in the order of shedding, while an answer is still worth
-// most to its caller. The load outlasts the longest time that a caller would wait, so
-// that a longer one only makes its answer late.
+// RetryAfterWithin returns the delay for a request refused for load: RetryAfter with
+// its mean capped at retryAfterFraction of the objective. The retry gets a new rank while its answer
+// is still useful; a longer delay would only make the answer late.
 func RetryAfterWithin(l rank.Level, objective time.Duration, draw float64) time.Duration {
 	return jitter(min(meanRetryAfter(l), time.Duration(retryAfterFraction*float64(objective))), draw)
 }
 
+// meanRetryAfter returns the mean delay at a level.
 func meanRetryAfter(l rank.Level) time.Duration {
 	shed := float64(l) / rank.Count
 	return minRetryAfter + time.Duration(shed*float64(MaxRetryAfter-minRetryAfter))
 }
 
+// jitter spreads a mean delay over 0.5 to 1.5 times its value. draw is uniform in
+// [0, 1).
 func jitter(mean time.Duration, draw float64) time.Duration {
 	return time.Duration(float64(mean) * (0.5 + draw))
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -11,9 +11,9 @@
 )
 
 func TestDecide(t *testing.T) {
-	sound := retry.Call{Replayable: true, Attempts: 1}
+	replayable := retry.Call{Replayable: true, Attempts: 1}
 	with := func(change func(*retry.Call)) retry.Call {
-		c := sound
+		c := replayable
 		change(&c)
 		return c
 	}
@@ -23,19 +23,19 @@
 		f    retry.Failure
 		want retry.Verdict
 	}{
-		"a body that was streamed":               {retry.Call{Attempts: 1}, retry.Failure{Code: fault.Rejected, InstanceChosen: true}, retry.GiveUp},
-		"turned away by its server":              {sound, retry.Failure{Code: fault.Rejected, InstanceChosen: true}, retry.RetryCharged},
-		"may have run, not idempotent":           {sound, retry.Failure{Code: fault.PeerLost, Execution: fault.RunUnknown, InstanceChosen: true}, retry.GiveUp},
-		"may have run, idempotent":               {idempotent, retry.Failure{Code: fault.PeerLost, Execution: fault.RunUnknown, InstanceChosen: true}, retry.RetryCharged},
-		"an instance that leaves":                {sound, retry.Failure{Code: fault.Draining, InstanceChosen: true}, retry.RetryUncharged},
-		"the fourth one that leaves":             {with(func(c *retry.Call) { c.Uncharged = 3 }), retry.Failure{Code: fault.Draining, InstanceChosen: true}, retry.RetryCharged},
-		"an overloaded instance":                 {sound, retry.Failure{Code: fault.Overload, InstanceChosen: true}, retry.RetryCharged},
-		"a second overloaded instance":           {with(func(c *retry.Call) { c.Attempts = 2 }), retry.Failure{Code: fault.Overload, InstanceChosen: true}, retry.GiveUp},
-		"nobody takes it":                        {sound, retry.Failure{Code: fault.Overload}, retry.GiveUp},
-		"its time is over":                       {idempotent, retry.Failure{Code: fault.Deadline, Execution: fault.RunUnknown, InstanceChosen: true}, retry.GiveUp},
-		"offered to as many as may be, rejected": {with(func(c *retry.Call) { c.Offered, c.MaxOffered = 2, 2 }), retry.Failure{Code: fault.Rejected, InstanceChosen: true}, retry.RetryCharged},
-		"offered to as many as may be, lost":     {with(func(c *retry.Call) { c.Offered, c.MaxOffered, c.Idempotent = 2, 2, true }), retry.Failure{Code: fault.BackendLost, Execution: fault.RunUnknown, InstanceChosen: true}, retry.GiveUp},
-		"an answer that says failed":             {idempotent, retry.Failure{Execution: fault.RunYes, InstanceChosen: true}, retry.RetryCharged},
+		"streamed body":                       {retry.Call{Attempts: 1}, retry.Failure{Code: fault.Rejected, InstanceChosen: true}, retry.GiveUp},
+		"rejected by the backend server":      {replayable, retry.Failure{Code: fault.Rejected, InstanceChosen: true}, retry.RetryCharged},
+		"maybe executed, not idempotent":      {replayable, retry.Failure{Code: fault.PeerLost, Execution: fault.RunUnknown, InstanceChosen: true}, retry.GiveUp},
+		"maybe executed, idempotent":          {idempotent, retry.Failure{Code: fault.PeerLost, Execution: fault.RunUnknown, InstanceChosen: true}, retry.RetryCharged},
+		"draining instance":                   {replayable, retry.Failure{Code: fault.Draining, InstanceChosen: true}, retry.RetryUncharged},
+		"fourth draining instance":            {with(func(c *retry.Call) { c.Uncharged = 3 }), retry.Failure{Code: fault.Draining, InstanceChosen: true}, retry.RetryCharged},
+		"overloaded instance":                 {replayable, retry.Failure{Code: fault.Overload, InstanceChosen: true}, retry.RetryCharged},
+		"second overloaded instance":          {with(func(c *retry.Call) { c.Attempts = 2 }), retry.Failure{Code: fault.Overload, InstanceChosen: true}, retry.GiveUp},
+		"no instance chosen":                  {replayable, retry.Failure{Code: fault.Overload}, retry.GiveUp},
+		"deadline exceeded":                   {idempotent, retry.Failure{Code: fault.Deadline, Execution: fault.RunUnknown, InstanceChosen: true}, retry.GiveUp},
+		"maximum offers, rejected":            {with(func(c *retry.Call) { c.Offered, c.MaxOffered = 2, 2 }), retry.Failure{Code: fault.Rejected, InstanceChosen: true}, retry.RetryCharged},
+		"maximum offers, backend server lost": {with(func(c *retry.Call) { c.Offered, c.MaxOffered, c.Idempotent = 2, 2, true }), retry.Failure{Code: fault.BackendLost, Execution: fault.RunUnknown, InstanceChosen: true}, retry.GiveUp},
+		"failure reported in the answer":      {idempotent, retry.Failure{Execution: fault.RunYes, InstanceChosen: true}, retry.RetryCharged},
 	} {
 		t.Run(name, func(t *testing.T) {
 			NewWithT(t).Expect(retry.Decide(x.call, x.f)).To(Equal(x.want))
@@ -43,8 +43,9 @@
 	}
 }
 
-// What may have run is sent once more only if it may run twice, whatever else is true.
-func TestWhatMayHaveRunIsNotRunAgain(t *testing.T) {
+// TestMaybeExecutedCallIsNotRetried checks that a non-idempotent call that may have
+// been executed is never retried.
+func TestMaybeExecutedCallIsNotRetried(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := retry.Call{
 			Replayable: rapid.Bool().Draw(t, "replayable"), Attempts: rapid.IntRange(1, 9).Draw(t, "attempts"),
@@ -55,7 +56,7 @@
 			Execution: rapid.SampledFrom([]fault.Run{fault.RunUnknown, fault.RunYes}).Draw(t, "run"),
 		}
 		if retry.Decide(c, f) != retry.GiveUp {
-			t.Fatalf("%+v is sent again after %+v", c, f)
+			t.Fatalf("call %+v is retried after %+v", c, f)
 		}
 	})
 }
