--- a/internal/pathlevel/pathlevel.go
+++ b/internal/pathlevel/pathlevel.go
@@ -1,6 +1,5 @@
-// Package pathlevel keeps the levels of the services that requests of each root
-// kind call, as a node learns them from answers. It is on the way of every request:
-// reading takes no lock, and what is written are atomic words.
+// Package pathlevel tracks the admission levels of the services called for each root
+// kind, as reported in answers. Every request uses it, so reads take no lock.
 package pathlevel
 
 import (
@@ -12,23 +11,22 @@
 	"github.com/umberthread/umberthread/route"
 )
 
-// Table remembers, per root kind, the admission levels of the services that
-// requests of the kind call from this node, as their answers report them. The
-// highest is the level of the path: a request that does not pass it would be
-// refused further down, after work was done for it. A node learns only the
-// paths of the kinds that pass through it, whatever the size of the fleet. It is safe for concurrent
-// use.
+// Table holds, per root kind, the admission levels of the services that requests of the
+// kind call from this node, as their answers report them. The highest is the path's
+// level: a request below it would be refused downstream after work was done for it. A
+// node tracks only the root kinds that pass through it. It is safe for concurrent use.
 type Table struct {
-	paths sync.Map // root scope -> *path
+	paths sync.Map // root kind -> *rootPath
 }
 
-// path is a short list of called services. It only grows, and is copied to
-// do so; the words in it are atomic.
+// rootPath is the list of services called for one root kind. It only grows and is
+// copied on write; the list's entries are updated atomically.
 type rootPath struct {
 	mu     sync.Mutex
 	levels atomic.Pointer[[]*serviceLevel]
 }
 
+// serviceLevel is the last known level of a called service.
 type serviceLevel struct {
 	service   string
 	level     atomic.Uint32
@@ -36,16 +34,16 @@
 }
 
 const (
-	// edgeKeep is the share of the old level that an answer leaves which
-	// follows at once: answers come from several instances, whose levels
-	// differ.
+	// previousLevelWeight is the weight of the previous level when a new answer
+	// follows at once. Averaging evens out the levels of different instances.
 	previousLevelWeight = 0.6
-	// edgeMemory is the age from which the old level says nothing beside a
-	// new answer. Most nodes see few requests of a kind.
+	// previousLevelMemory is the age at which the previous level has no weight left.
+	// It is short because most nodes see few requests of a kind.
 	previousLevelMemory = 200 * time.Millisecond
 )
 
-// Observe takes in the path level that an answer of service reported.
+// Observe records the path level l reported in an answer of service. now is the time
+// since a fixed moment.
 func (t *Table) Observe(root, service string, l rank.Level, now time.Duration) {
 	v, ok := t.paths.Load(root)
 	if !ok {
@@ -64,24 +62,26 @@
 	e.updatedAt.Store(int64(now))
 }
 
-// Level returns the level of the path of a root kind, faded by its age.
+// Level returns the highest level on the path of a root kind, decayed by age, or 0 if
+// none is known.
 func (t *Table) Level(root string, now time.Duration) rank.Level {
 	v, ok := t.paths.Load(root)
 	if !ok {
 		return 0
 	}
-	edges := v.(*rootPath).levels.Load()
-	if edges == nil {
+	levels := v.(*rootPath).levels.Load()
+	if levels == nil {
 		return 0
 	}
 	var highest rank.Level
-	for _, e := range *edges {
+	for _, e := range *levels {
 		l := route.Fade(rank.Level(e.level.Load()), now-time.Duration(e.updatedAt.Load()))
 		highest = max(highest, l)
 	}
 	return highest
 }
 
+// findOrAdd returns the entry of a service, and adds it if absent.
 func (p *rootPath) findOrAdd(service string) *serviceLevel {
 	if e := p.find(service); e != nil {
 		return e
@@ -101,12 +101,13 @@
 	return e
 }
 
+// find returns the entry of a service, or nil.
 func (p *rootPath) find(service string) *serviceLevel {
-	edges := p.levels.Load()
-	if edges == nil {
+	levels := p.levels.Load()
+	if levels == nil {
 		return nil
 	}
-	for _, e := range *edges {
+	for _, e := range *levels {
 		if e.service == service {
 			return e
 		}
--- a/internal/pathlevel/pathlevel_test.go
+++ b/internal/pathlevel/pathlevel_test.go
@@ -19,7 +19,7 @@
 	g.Expect(p.Level("other", now)).To(gomega.BeZero())
 	g.Expect(p.Level("root", now+time.Second)).To(gomega.BeNumerically("~", 200, 1))
 	g.Expect(p.Level("root", now+2*time.Second)).To(gomega.BeZero())
-	// After a pause one answer says it all.
+	// After a pause, a single answer replaces the previous level.
 	p.Observe("root", "f/b", 0, now+time.Second)
 	g.Expect(p.Level("root", now+time.Second)).To(gomega.BeNumerically("<=", 100))
 }
