--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -1,5 +1,5 @@
-// Package latency counts how long requests took, in histograms that are shown as
-// text.
+// Package latency counts request durations in histograms and writes them in the
+// Prometheus text format.
 package latency
 
 import (
@@ -11,14 +11,13 @@
 	"time"
 )
 
-// bounds are the upper bounds of the histograms' buckets. They are closest where
-// objectives lie.
+// bucketBounds are the upper bounds of the buckets, finest around typical objectives.
 var bucketBounds = [...]time.Duration{
 	5 * time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond,
 	400 * time.Millisecond, 800 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second, 6 * time.Second,
 }
 
-// histogram counts durations; the last bucket has no bound.
+// histogram counts durations. Its last bucket is unbounded.
 type histogram struct {
 	buckets   [len(bucketBounds) + 1]atomic.Int64
 	sumMicros atomic.Int64
@@ -30,13 +29,14 @@
 	h.sumMicros.Add(d.Microseconds())
 }
 
-// Table holds a histogram for each class and outcome, a
-// bounded set whatever the settings name. It is safe for concurrent use.
+// Table holds a histogram per class and outcome, both from small fixed sets. It is safe
+// for concurrent use.
 type Table struct{ m sync.Map }
 
+// seriesKey identifies the histogram of a class and an outcome.
 type seriesKey struct{ class, outcome string }
 
-// Observe counts a request that has its answer.
+// Observe records the duration of an answered request.
 func (t *Table) Observe(class, outcome string, took time.Duration) {
 	k := seriesKey{class, outcome}
 	v, ok := t.m.Load(k)
@@ -46,11 +46,12 @@
 	v.(*histogram).observe(took)
 }
 
-// Write writes the histograms as text, in seconds. Errors of w are the reader's loss.
+// WriteText writes the histograms in the Prometheus text format, in seconds. It ignores
+// write errors.
 func (t *Table) WriteText(w io.Writer) {
 	t.m.Range(func(k, v any) bool {
-		labelled, h := k.(seriesKey), v.(*histogram)
-		labels := fmt.Sprintf("class=%q,outcome=%q", labelled.class, labelled.outcome)
+		series, h := k.(seriesKey), v.(*histogram)
+		labels := fmt.Sprintf("class=%q,outcome=%q", series.class, series.outcome)
 		sum := int64(0)
 		for i := range h.buckets {
 			sum += h.buckets[i].Load()
