--- a/internal/scope/scope.go
+++ b/internal/scope/scope.go
@@ -1,9 +1,8 @@
-// Package scope carries the end of a request to whatever works for it.
+// Package scope propagates the end of a request to the work done for it.
 //
-// A Scope is the life of one request on one node: it has a deadline, it can
-// be canceled, and it interrupts the connection that the request's goroutine
-// is blocked on. It replaces context.Context on the way of a request because
-// it needs no goroutine and no allocation per wait.
+// A Scope has a deadline, can be canceled, and interrupts the connection on which the
+// request's goroutine is blocked. It is used instead of context.Context because a wait
+// needs no goroutine and no allocation.
 package scope
 
 import (
@@ -14,7 +13,7 @@
 	"github.com/umberthread/umberthread/fault"
 )
 
-// Scope is the life of one request. It is safe for concurrent use.
+// Scope is the lifetime of one request on one node. It is safe for concurrent use.
 type Scope struct {
 	deadline time.Time
 
@@ -29,7 +28,8 @@
 // New returns a scope that ends at the deadline.
 func New(deadline time.Time) *Scope { return &Scope{deadline: deadline} }
 
-// Child returns a scope that ends with s, at its deadline or earlier.
+// Child returns a scope that ends with s or at the deadline, whichever is earlier. The
+// caller must call Close on it when its work is done.
 func (s *Scope) Child(deadline time.Time) *Scope {
 	if s.deadline.Before(deadline) {
 		deadline = s.deadline
@@ -45,13 +45,13 @@
 	return c
 }
 
-// Deadline returns when the request's answer is worthless.
+// Deadline returns the time after which the request's answer is useless.
 func (s *Scope) Deadline() time.Time { return s.deadline }
 
-// Remaining returns the time that is left, negative after the deadline.
+// Remaining returns the time until the deadline, negative after it.
 func (s *Scope) Remaining() time.Duration { return time.Until(s.deadline) }
 
-// Err returns why the scope has ended, or None.
+// Err returns the reason why the scope has ended, or fault.None if it has not.
 func (s *Scope) Err() fault.Code {
 	s.mu.Lock()
 	code := s.code
@@ -62,10 +62,11 @@
 	return code
 }
 
-// past is a deadline that interrupts a blocked read or write at once.
+// pastDeadline is a connection deadline that interrupts blocked reads and writes.
 var pastDeadline = time.Unix(1, 0)
 
-// Cancel ends the scope and all scopes below it.
+// Cancel ends the scope and its descendants with a code. Only the first call has an
+// effect.
 func (s *Scope) Cancel(code fault.Code) {
 	s.mu.Lock()
 	if s.code != fault.None {
@@ -92,7 +93,8 @@
 	}
 }
 
-// Bind makes Cancel interrupt conn; false if the scope has already ended.
+// InterruptOnCancel makes Cancel interrupt conn, until StopInterrupt. It returns false
+// if the scope has already been canceled.
 func (s *Scope) InterruptOnCancel(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,15 +105,16 @@
 	return true
 }
 
-// Unbind ends Bind. After it returns, Cancel does not touch the connection.
+// StopInterrupt ends InterruptOnCancel. After it returns, Cancel does not touch the
+// connection.
 func (s *Scope) StopInterrupt() {
 	s.mu.Lock()
 	s.conn = nil
 	s.mu.Unlock()
 }
 
-// Notify makes Cancel send the code on c, which must have room for one; false
-// if the scope has already ended.
+// Notify makes Cancel send its code on c, until StopNotify. c must have a buffer of one;
+// Cancel does not block. Notify returns false if the scope has already been canceled.
 func (s *Scope) Notify(c chan fault.Code) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,14 +125,14 @@
 	return true
 }
 
-// Silence ends Notify.
+// StopNotify ends Notify. Cancel then sends no code.
 func (s *Scope) StopNotify() {
 	s.mu.Lock()
 	s.notify = nil
 	s.mu.Unlock()
 }
 
-// Close takes a finished scope off its parent.
+// Close detaches a finished scope from its parent.
 func (s *Scope) Close() {
 	if s.parent == nil {
 		return
