--- a/admission/controller.go
+++ b/admission/controller.go
@@ -7,162 +7,172 @@
 )
 
 const (
-	// keep is the share of the arrival histogram that a new window keeps.
-	keep = 0.5
-	// openBelow is the utilisation under which the level is lowered.
-	openBelow = 0.97
-	// maxOpen bounds the growth of admitted load in one window.
-	maxOpen = 2.0
-	// openRanks and idleRanks bound how far the level falls in one window,
-	// with no slot idle and in addition with all idle: below the level the
-	// demand is not known.
-	openRanks = rank.Cohorts / 8
-	idleRanks = rank.Count / 2
-	// baseCut is the share cut beyond the measured excess on overload.
-	baseCut = 0.02
-	// waitCut is the further share cut when the wait is at its maximum.
-	waitCut = 0.15
-	// severeFactor is how many targets the wait must reach to act after one
+	// histogramDecay is the fraction of the arrival histogram kept for the next
 	// window.
-	severeFactor = 2
-	// minFinished is how many requests a window needs to judge an overload.
+	histogramDecay = 0.5
+	// saturatedUtilization is the utilization below which the level is lowered.
+	saturatedUtilization = 0.97
+	// maxLoadGrowth bounds the growth factor of the admitted load per window.
+	maxLoadGrowth = 2.0
+	// baseLevelDrop and idleLevelDrop bound how many ranks the level drops in one
+	// window: the first at full utilization, the sum of both with all slots idle.
+	// The demand below the level is unknown.
+	baseLevelDrop = rank.Cohorts / 8
+	idleLevelDrop = rank.Count / 2
+	// baseReduction is the fraction of the finished load shed in addition to the
+	// measured excess on overload.
+	baseReduction = 0.02
+	// waitReduction is the further fraction shed when the mean wait reaches its
+	// maximum.
+	waitReduction = 0.15
+	// severeWaitFactor is the multiple of the target wait above which a single
+	// window raises the level.
+	severeWaitFactor = 2
+	// minFinished is the number of finished requests required to evaluate a
+	// window in which requests waited.
 	minFinished = 16
-	// maxStretch is how many windows long a window with fewer may become.
-	maxStretch = 8
+	// maxWindowStretch is the maximum length of a window with fewer finished
+	// requests, in multiples of the configured window.
+	maxWindowStretch = 8
 )
 
-// controller moves the admission level once a window. On overload it cuts
-// the admitted demand down to what was finished, less a little to drain the
-// queue; with slots idle it admits as much more as they could serve.
-type controller struct {
-	level    rank.Level
-	start    time.Duration
-	end      time.Duration
-	arrivals int
-	admitted int
-	finished int
-	waitSum  time.Duration
-	overflew int
-	pushback bool
-	// wasOver is set if the last window's wait was above the target.
-	wasOver bool
-
-	busySum  float64
-	busyLast time.Duration
-
-	hist  [rank.Count]float32
-	total float64
+// levelController adjusts the admission level once per window. On overload it
+// reduces the admitted demand to slightly less than the finished load, so that
+// the queue drains; with idle slots it admits as much more as they can serve.
+type levelController struct {
+	level       rank.Level
+	windowStart time.Duration
+	windowEnd   time.Duration
+	arrivals    int
+	admitted    int
+	finished    int
+	waitSum     time.Duration
+	overflows   int
+	pushback    bool
+	// wasOverTarget reports whether the last window's mean wait exceeded the
+	// target.
+	wasOverTarget bool
+
+	busyIntegral float64
+	busyUpdated  time.Duration
+
+	arrivalHist [rank.Count]float32
+	histTotal   float64
 }
 
-func (c *controller) arrive(r rank.Rank) {
+func (c *levelController) recordArrival(r rank.Rank) {
 	c.arrivals++
-	c.hist[r%rank.Count]++
-	c.total++
+	c.arrivalHist[r%rank.Count]++
+	c.histTotal++
 }
 
-func (c *controller) done() { c.finished++ }
+func (c *levelController) recordFinish() { c.finished++ }
 
-func (c *controller) overflow() { c.overflew++ }
+func (c *levelController) recordOverflow() { c.overflows++ }
 
-// waited counts a request that leaves the queue, or d = 0 for one that never
-// stood in it.
-func (c *controller) waited(d time.Duration) {
+// recordWait counts a request that leaves the queue after waiting for d, or one
+// admitted directly with d = 0.
+func (c *levelController) recordWait(d time.Duration) {
 	c.admitted++
 	c.waitSum += d
 }
 
-// due tells whether the window can be judged: its time has passed and enough
-// requests finished in it, or none had to wait, or it is long overdue.
-func (c *controller) due(now, window time.Duration) bool {
-	if now < c.end {
+// windowComplete reports whether the window can be evaluated: it has elapsed, and
+// either nothing waited, overflowed or was pushed back, or enough requests
+// finished, or it has reached its maximum length.
+func (c *levelController) windowComplete(now, window time.Duration) bool {
+	if now < c.windowEnd {
 		return false
 	}
-	calm := c.waitSum == 0 && c.overflew == 0 && !c.pushback
-	return calm || c.finished >= minFinished || now >= c.end+(maxStretch-1)*window
+	calm := c.waitSum == 0 && c.overflows == 0 && !c.pushback
+	return calm || c.finished >= minFinished || now >= c.windowEnd+(maxWindowStretch-1)*window
 }
 
-// account adds the utilisation since the last event to the window's integral.
-func (c *controller) account(now time.Duration, inflight int, limit float64) {
-	if d := now - c.busyLast; d > 0 {
-		c.busySum += float64(d) * min(1, float64(inflight)/limit)
+// updateUtilization adds the utilization since the last update to the window's
+// integral.
+func (c *levelController) updateUtilization(now time.Duration, inflight int, limit float64) {
+	if d := now - c.busyUpdated; d > 0 {
+		c.busyIntegral += float64(d) * min(1, float64(inflight)/limit)
 	}
-	c.busyLast = now
+	c.busyUpdated = now
 }
 
-// close ends the window, moves the level and starts the next window. target
-// is the mean wait that keeps the slots busy, maxWait the longest allowed.
-func (c *controller) close(now, window, target, maxWait time.Duration) {
-	elapsed := now - c.start
+// closeWindow evaluates the window, adjusts the level and starts the next window.
+// target is the mean wait that keeps the slots busy, maxWait the longest allowed.
+func (c *levelController) closeWindow(now, window, target, maxWait time.Duration) {
+	elapsed := now - c.windowStart
 	util := 0.0
 	if elapsed > 0 {
-		util = c.busySum / float64(elapsed)
+		util = c.busyIntegral / float64(elapsed)
 	}
 	wait := time.Duration(0)
 	if c.admitted > 0 {
 		wait = c.waitSum / time.Duration(c.admitted)
 	}
-	over := wait > target
-	severe := wait > severeFactor*target || c.overflew > c.finished/8 || c.pushback
+	overTarget := wait > target
+	severe := wait > severeWaitFactor*target || c.overflows > c.finished/8 || c.pushback
 	switch {
-	case severe || over && c.wasOver:
-		c.tighten(float64(wait) / float64(maxWait))
-	case over:
-		// Chance arrivals fill a queue for one window; demand beyond the
-		// capacity fills it for the next as well.
-	case c.level > 0 && util < openBelow:
-		c.open(util)
+	case severe || overTarget && c.wasOverTarget:
+		c.raiseLevel(float64(wait) / float64(maxWait))
+	case overTarget:
+		// Random bursts fill the queue for one window; demand above the
+		// capacity also fills it in the next.
+	case c.level > 0 && util < saturatedUtilization:
+		c.lowerLevel(util)
 	}
-	c.wasOver = over
-	c.reset(now, window)
+	c.wasOverTarget = overTarget
+	c.startWindow(now, window)
 }
 
-// tighten raises the level until the demand above it is what was finished,
-// less a little to drain the queue. fill is how full the queue is, in time.
-func (c *controller) tighten(fill float64) {
-	if c.total <= 0 || c.arrivals == 0 {
+// raiseLevel raises the level until the demand at or above it is slightly less
+// than the finished load, so that the queue drains. fill is the mean wait as a
+// fraction of the maximum.
+func (c *levelController) raiseLevel(fill float64) {
+	if c.histTotal <= 0 || c.arrivals == 0 {
 		return
 	}
-	cut := baseCut + waitCut*min(1, fill)
-	scale := float64(c.arrivals) / c.total
-	excess := c.above()*scale - float64(c.finished)*(1-cut)
+	cut := baseReduction + waitReduction*min(1, fill)
+	scale := float64(c.arrivals) / c.histTotal
+	excess := c.demandAboveLevel()*scale - float64(c.finished)*(1-cut)
 	for excess > 0 && int(c.level) < rank.Count-1 {
-		excess -= float64(c.hist[c.level]) * scale
+		excess -= float64(c.arrivalHist[c.level]) * scale
 		c.level++
 	}
 }
 
-// above is the recent demand at or above the level.
-func (c *controller) above() float64 {
+// demandAboveLevel returns the recent demand at or above the level.
+func (c *levelController) demandAboveLevel() float64 {
 	sum := 0.0
 	for r := int(c.level); r < rank.Count; r++ {
-		sum += float64(c.hist[r])
+		sum += float64(c.arrivalHist[r])
 	}
 	return sum
 }
 
-// open lowers the level far enough to fill the idle slots, judging the
-// demand of the ranks below by that of the ranks just above.
-func (c *controller) open(util float64) {
-	grow := maxOpen
+// lowerLevel lowers the level far enough to fill the idle slots. It estimates the
+// demand of the ranks below the level by that of the ranks just above it.
+func (c *levelController) lowerLevel(util float64) {
+	growth := maxLoadGrowth
 	if util > 0 {
-		grow = min(maxOpen, 1/util)
+		growth = min(maxLoadGrowth, 1/util)
 	}
-	room := c.above() * (grow - 1)
-	most := openRanks + int((1-util)*idleRanks)
-	step := most
-	if d := c.density(); d > 0 {
-		step = min(most, int(room/d)+1)
+	spare := c.demandAboveLevel() * (growth - 1)
+	maxStep := baseLevelDrop + int((1-util)*idleLevelDrop)
+	step := maxStep
+	if d := c.demandPerRank(); d > 0 {
+		step = min(maxStep, int(spare/d)+1)
 	}
 	c.level -= rank.Level(min(step, int(c.level)))
 }
 
-// density is the mean demand per rank in the part of a class above the level.
-func (c *controller) density() float64 {
+// demandPerRank returns the mean demand per rank over the baseLevelDrop ranks from
+// the level up.
+func (c *levelController) demandPerRank() float64 {
 	from := int(c.level)
-	to := min(from+openRanks, rank.Count)
+	to := min(from+baseLevelDrop, rank.Count)
 	sum := 0.0
 	for r := from; r < to; r++ {
-		sum += float64(c.hist[r])
+		sum += float64(c.arrivalHist[r])
 	}
 	if to == from {
 		return 0
@@ -170,49 +180,53 @@
 	return sum / float64(to-from)
 }
 
-func (c *controller) reset(now, window time.Duration) {
-	for i := range c.hist {
-		c.hist[i] *= keep
+// startWindow decays the arrival histogram and clears the counters of the window.
+func (c *levelController) startWindow(now, window time.Duration) {
+	for i := range c.arrivalHist {
+		c.arrivalHist[i] *= histogramDecay
 	}
-	c.total *= keep
-	c.start = now
-	c.end = now + window
+	c.histTotal *= histogramDecay
+	c.windowStart = now
+	c.windowEnd = now + window
 	c.arrivals = 0
 	c.finished = 0
 	c.admitted = 0
 	c.waitSum = 0
-	c.overflew = 0
+	c.overflows = 0
 	c.pushback = false
-	c.busySum = 0
-	c.busyLast = now
+	c.busyIntegral = 0
+	c.busyUpdated = now
 }
 
-// quantile follows a quantile of a stream of durations with one word of
-// state, by steps up and down that are balanced at that quantile.
-type quantile struct {
+// quantileEstimate tracks a quantile of a stream of durations in constant space,
+// by steps up and down that balance at that quantile.
+type quantileEstimate struct {
 	value time.Duration
-	// fresh is set by each sample and cleared by fade.
-	fresh bool
+	// sampled is set by observe and cleared by decay.
+	sampled bool
 }
 
-// fadeShare is the part of a quantile that a window without a sample takes
-// away: where everything is refused for want of time there are no samples, and
-// the estimate must not keep it so.
-const fadeShare = 16
+// idleDecayDivisor is the divisor of the estimate's decrease in a window without
+// samples. If all requests are refused for lack of time, no samples arrive, and
+// without the decay the estimate would never fall.
+const idleDecayDivisor = 16
 
-// fade is called once a window.
-func (q *quantile) fade() {
-	if !q.fresh {
-		q.value -= q.value / fadeShare
+// decay lowers the estimate if there was no sample since the last call. It is
+// called once per window.
+func (q *quantileEstimate) decay() {
+	if !q.sampled {
+		q.value -= q.value / idleDecayDivisor
 	}
-	q.fresh = false
+	q.sampled = false
 }
 
-// quantileStep is the step as a share of the value, before it is split.
+// quantileStep is the sum of the step up and the step down, as a fraction of the
+// estimate.
 const quantileStep = 1.0 / 16
 
-func (q *quantile) observe(d time.Duration, at float64) {
-	q.fresh = true
+// observe adds a sample to the estimate of the quantile at, between 0 and 1.
+func (q *quantileEstimate) observe(d time.Duration, at float64) {
+	q.sampled = true
 	switch {
 	case q.value == 0:
 		q.value = d / 2
--- a/admission/pushback_test.go
+++ b/admission/pushback_test.go
@@ -9,9 +9,10 @@
 	"github.com/umberthread/umberthread/rank"
 )
 
-// pushBack runs windows in which the backend server turns away half of the
-// requests, with so many slots taken at most, and returns the lowest limit.
-func pushBack(taken int) int {
+// lowestLimitUnderPushback simulates windows in which the backend server rejects
+// half of the requests, with at most taken slots in use, and returns the lowest
+// limit.
+func lowestLimitUnderPushback(taken int) int {
 	const slots = 40
 	g := New(Options{Slots: slots, QueueMax: 8, QueueWait: time.Second, QueueTarget: 3 * time.Millisecond, Window: 100 * time.Millisecond})
 	lowest := g.Limit()
@@ -19,26 +20,27 @@
 		now := time.Duration(i) * 10 * time.Millisecond
 		for g.InFlight() < min(taken, g.Limit()) {
 			d := g.Arrive(now, &Waiter{Request: Request{Rank: rank.Make(rank.Protected, 255), Deadline: now + time.Minute}})
-			if d.Verdict != Admit {
+			if d.Verdict != Admitted {
 				break
 			}
 		}
 		if g.InFlight() > 0 {
-			g.Done(now, Outcome{Took: 20 * time.Millisecond, Pushback: i%2 == 0}, nil)
+			g.Finish(now, Outcome{ServiceTime: 20 * time.Millisecond, Pushback: i%2 == 0}, nil)
 		}
 		lowest = min(lowest, g.Limit())
 	}
 	return lowest
 }
 
-// TestRejectionsWithFreeSlotsAreNoOverload replays a server with a fault that
-// turns away half of its requests whatever its load; lowering the limit would
-// only turn away what it still takes.
-func TestRejectionsWithFreeSlotsAreNoOverload(t *testing.T) {
-	gomega.NewWithT(t).Expect(pushBack(8)).To(gomega.Equal(40))
+// TestPushbackWithFreeSlotsKeepsLimit guards against a lower limit for a server
+// that rejects requests regardless of its load: the limit would only refuse
+// requests that the server still accepts.
+func TestPushbackWithFreeSlotsKeepsLimit(t *testing.T) {
+	gomega.NewWithT(t).Expect(lowestLimitUnderPushback(8)).To(gomega.Equal(40))
 }
 
-// TestRejectionsUnderLoadLowerTheLimit: the same with the slots taken.
-func TestRejectionsUnderLoadLowerTheLimit(t *testing.T) {
-	gomega.NewWithT(t).Expect(pushBack(40)).To(gomega.BeNumerically("<", 30))
+// TestPushbackUnderLoadLowersLimit checks that rejections with all slots taken
+// count as overload.
+func TestPushbackUnderLoadLowersLimit(t *testing.T) {
+	gomega.NewWithT(t).Expect(lowestLimitUnderPushback(40)).To(gomega.BeNumerically("<", 30))
 }
--- a/admission/search.go
+++ b/admission/search.go
@@ -3,107 +3,108 @@
 import "time"
 
 const (
-	// searchSteps divides the declared slots: the limit is searched among the
-	// whole and what is left when one to maxDown steps are taken away.
-	searchSteps = 16
-	maxDown     = 4
-	// searchFrom is the least number of slots for which a step is a slot.
-	searchFrom = searchSteps
-	// epochFinishes is how many requests are timed at one limit. Times within a
-	// kind differ by about half of their mean, so that the mean of as many is
-	// right to 4%.
-	epochFinishes = 192
-	// margin is by how much a limit must finish more than a higher one to be
-	// kept: about the error of a comparison.
-	margin = 0.06
-	// searchRest is the time between two trials that changed nothing. A trial
-	// takes a sixteenth of the slots for a fraction of a second.
-	searchRest = 4 * time.Second
-	// clip bounds what one request counts, in means of its kind.
-	clip = 3.0
-	// meanKeep is the weight of the old mean time of a kind.
-	meanKeep = 64
+	// limitSteps is the number of steps that divide the declared slots. The
+	// searched limit is zero to maxStepsDown steps below the declared slots.
+	limitSteps   = 16
+	maxStepsDown = 4
+	// minSearchSlots is the minimum number of slots for a search: a step is then
+	// at least one slot.
+	minSearchSlots = limitSteps
+	// samplesPerLimit is the number of requests measured at each limit. It keeps
+	// the error of the mean below minImprovement.
+	samplesPerLimit = 192
+	// minImprovement is the relative gain in throughput that a lower limit must
+	// show over a higher one. It covers the error of a comparison.
+	minImprovement = 0.06
+	// trialInterval is the pause after a trial, unless a step down succeeded.
+	trialInterval = 4 * time.Second
+	// maxRelativeTime caps the contribution of one request, in means of its kind.
+	maxRelativeTime = 3.0
+	// meanSamples is the number of samples over which the mean service time of a
+	// kind is averaged.
+	meanSamples = 64
 )
 
-// limitSearch finds the concurrency at which a backend server finishes most.
+// limitSearch finds the concurrency limit with the highest throughput. A saturated
+// backend server that slows down when nearly full finishes more with fewer slots.
 //
-// The load that it answers: demand beyond the capacity, so that every slot is
-// taken, at a server that gets slower when it is nearly full. At 28 of 29 slots
-// or more one third slower, it finishes a fifth more with 27; and calls that
-// stand eight in a row behind one request do not take a third longer each.
-//
-// It compares the mean times, each as a share of its kind's mean, at two limits
-// one after the other while all slots are taken: by Little's law the one with
-// the higher quotient of limit and time finishes more. It goes back up whenever
-// a trial does not show the contrary again, so that a server which was slow for
-// another reason gets its slots back.
+// It compares the mean relative service times at two limits, one after the other,
+// while all slots are taken: by Little's law the limit with the higher quotient of
+// limit and time has the higher throughput. It returns to the higher limit unless
+// a trial confirms the lower one, so that a server that was slow for another
+// reason regains its slots.
 type limitSearch struct {
-	down  int
-	trial int
-	// skip is how many finishes are still of requests begun at another limit.
-	skip int
-	n    int
-	sum  float64
-	// held is the mean time at the limit before the trial.
-	held float64
-	// restUntil is when the next trial may begin.
-	restUntil time.Duration
-	// deeper is set after a step down that was kept: the next may help too.
-	deeper bool
-	means  [MaxKinds]kindMean
+	stepsDown int
+	trialStep int
+	// skipFinishes is the number of next finishes to ignore, as those requests
+	// started at another limit.
+	skipFinishes    int
+	samples         int
+	relativeTimeSum float64
+	// baselineTime is the mean relative time at the limit before the trial.
+	baselineTime float64
+	// nextTrial is the earliest start of the next trial.
+	nextTrial time.Duration
+	// continueDown is set after a successful step down, to try another.
+	continueDown bool
+	kindMeans    [MaxKinds]kindMean
 }
 
-// kindMean is the mean time of a request kind.
+// kindMean is the mean service time of a request kind.
 type kindMean struct {
-	n    int
-	mean time.Duration
+	samples int
+	mean    time.Duration
 }
 
-// ceiling is the limit that the search has come to, trials included.
-func (s *limitSearch) ceiling(slots int) float64 { return s.at(slots, s.down+s.trial) }
+// maxLimit returns the limit under test, or the best known one between trials.
+func (s *limitSearch) maxLimit(slots int) float64 {
+	return s.limitAfterSteps(slots, s.stepsDown+s.trialStep)
+}
 
-func (s *limitSearch) at(slots, down int) float64 {
-	if slots < searchFrom {
+// limitAfterSteps returns the limit that is down steps below slots.
+func (s *limitSearch) limitAfterSteps(slots, down int) float64 {
+	if slots < minSearchSlots {
 		return float64(slots)
 	}
-	return float64(slots - (slots*down+searchSteps-1)/searchSteps)
+	return float64(slots - (slots*down+limitSteps-1)/limitSteps)
 }
 
-// finish takes in a request that was run to its end while all slots were taken.
-func (s *limitSearch) finish(now time.Duration, kind uint8, took time.Duration, slots int) {
-	if slots < searchFrom {
+// recordFinish records a request that finished while all slots were taken.
+func (s *limitSearch) recordFinish(now time.Duration, kind uint8, took time.Duration, slots int) {
+	if slots < minSearchSlots {
 		return
 	}
-	share, ok := s.share(kind, took)
+	share, ok := s.relativeTime(kind, took)
 	if !ok {
 		return
 	}
-	if s.skip > 0 {
-		s.skip--
+	if s.skipFinishes > 0 {
+		s.skipFinishes--
 		return
 	}
-	s.n++
-	s.sum += min(clip, share)
-	if s.n < epochFinishes {
+	s.samples++
+	s.relativeTimeSum += min(maxRelativeTime, share)
+	if s.samples < samplesPerLimit {
 		return
 	}
-	mean := s.sum / float64(s.n)
-	s.n, s.sum = 0, 0
-	if s.trial == 0 {
-		s.begin(now, mean, slots)
+	mean := s.relativeTimeSum / float64(s.samples)
+	s.samples, s.relativeTimeSum = 0, 0
+	if s.trialStep == 0 {
+		s.startTrial(now, mean, slots)
 		return
 	}
-	s.judge(now, mean, slots)
+	s.finishTrial(now, mean, slots)
 }
 
-// share returns a request's time as a share of its kind's mean. The means stand
-// still during a trial, so that both sides of a comparison have the same.
-func (s *limitSearch) share(kind uint8, took time.Duration) (float64, bool) {
-	m := &s.means[kind%MaxKinds]
-	known := m.n >= meanKeep/4
-	if s.trial == 0 {
-		m.n = min(m.n+1, meanKeep)
-		m.mean += (took - m.mean) / time.Duration(m.n)
+// relativeTime returns a service time as a multiple of its kind's mean, or false
+// until the mean has enough samples. The means are frozen during a trial, so that
+// both sides of a comparison use the same.
+func (s *limitSearch) relativeTime(kind uint8, took time.Duration) (float64, bool) {
+	m := &s.kindMeans[kind%MaxKinds]
+	known := m.samples >= meanSamples/4
+	if s.trialStep == 0 {
+		m.samples = min(m.samples+1, meanSamples)
+		m.mean += (took - m.mean) / time.Duration(m.samples)
 	}
 	if !known || m.mean <= 0 {
 		return 0, false
@@ -111,46 +112,46 @@
 	return float64(took) / float64(m.mean), true
 }
 
-// begin starts a trial: up where the limit is lowered, unless a further step
-// down is due.
-func (s *limitSearch) begin(now time.Duration, mean float64, slots int) {
-	if now < s.restUntil {
+// startTrial starts a trial of a higher limit if the limit is lowered, or of a
+// lower one if it is not or the last step down succeeded.
+func (s *limitSearch) startTrial(now time.Duration, mean float64, slots int) {
+	if now < s.nextTrial {
 		return
 	}
-	s.held = mean
+	s.baselineTime = mean
 	switch {
-	case s.down == 0 || s.deeper && s.down < maxDown:
-		s.trial = 1
+	case s.stepsDown == 0 || s.continueDown && s.stepsDown < maxStepsDown:
+		s.trialStep = 1
 	default:
-		s.trial = -1
+		s.trialStep = -1
 	}
-	s.deeper = false
-	s.skip = slots
+	s.continueDown = false
+	s.skipFinishes = slots
 }
 
-// judge ends a trial.
-func (s *limitSearch) judge(now time.Duration, mean float64, slots int) {
-	higher, lower := s.at(slots, s.down), s.at(slots, s.down+s.trial)
-	slow, fast := s.held, mean
-	if s.trial < 0 {
+// finishTrial compares the trial with the baseline and keeps the better limit.
+func (s *limitSearch) finishTrial(now time.Duration, mean float64, slots int) {
+	higher, lower := s.limitAfterSteps(slots, s.stepsDown), s.limitAfterSteps(slots, s.stepsDown+s.trialStep)
+	higherTime, lowerTime := s.baselineTime, mean
+	if s.trialStep < 0 {
 		higher, lower = lower, higher
-		slow, fast = fast, slow
+		higherTime, lowerTime = lowerTime, higherTime
 	}
-	lowerIsBetter := lower/fast > (1+margin)*higher/slow
-	if lowerIsBetter == (s.trial > 0) {
-		s.down += s.trial
-		s.deeper = s.trial > 0
+	lowerIsBetter := lower/lowerTime > (1+minImprovement)*higher/higherTime
+	if lowerIsBetter == (s.trialStep > 0) {
+		s.stepsDown += s.trialStep
+		s.continueDown = s.trialStep > 0
 	}
-	if !s.deeper {
-		s.restUntil = now + searchRest
+	if !s.continueDown {
+		s.nextTrial = now + trialInterval
 	}
-	s.trial = 0
-	s.skip = slots
+	s.trialStep = 0
+	s.skipFinishes = slots
 }
 
-// interrupt gives up a trial: the server turned requests away, so that its times
-// cannot be compared.
-func (s *limitSearch) interrupt() {
-	s.n, s.sum = 0, 0
-	s.trial = 0
+// abortTrial abandons a trial after pushback: rejected requests make the service
+// times incomparable.
+func (s *limitSearch) abortTrial() {
+	s.samples, s.relativeTimeSum = 0, 0
+	s.trialStep = 0
 }
--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -21,16 +21,16 @@
 	boot   int
 	down   bool
 	server *server
-	guard  *admission.Guard
+	guard  *admission.Limiter
 	// waiting are the works that the guard keeps.
 	waiting map[*admission.Waiter]*work
 	routes  *route.Snapshot
 	// entered and nested are the path levels of requests that enter here and of
 	// calls of the server beside the node.
 	entered, nested *pathlevel.Table
-	retries         map[string]*budget.Share
+	retries         map[string]*budget.Throttle
 	// waits counts, for each service, the calls to it that the server waits for.
-	waits map[string]*admission.Waits
+	waits map[string]*admission.Bulkhead
 	// callers are the requests that entered here, with what tells their callers that
 	// the node is gone.
 	callers map[*call]func()
@@ -54,7 +54,7 @@
 	mayHaveRun bool
 	ended      bool
 	// waits is what it counts against while its server waits for it, or nil.
-	waits *admission.Waits
+	waits *admission.Bulkhead
 	// cancel ends the attempt under way.
 	cancel func()
 	done   func(answer)
@@ -101,9 +101,9 @@
 	}
 	share := n.share(c.kind.Service)
 	if c.repeat {
-		share.Repeat(p.now, p.limits)
+		share.RecordRetry(p.now, p.limits)
 	} else {
-		share.First(p.now, p.limits)
+		share.RecordFirstAttempt(p.now, p.limits)
 	}
 	n.attempt(c)
 }
@@ -113,20 +113,20 @@
 func (n *node) hold(c *call) bool {
 	w := n.waits[c.kind.Service]
 	if w == nil {
-		w = &admission.Waits{}
+		w = &admission.Bulkhead{}
 		n.waits[c.kind.Service] = w
 	}
-	if !w.Take(n.server.spec.Slots, n.p.fleet.Policy.ShareMax, c.rank) {
+	if !w.TryAcquire(n.server.spec.Slots, n.p.fleet.Policy.ShareMax, c.rank) {
 		return false
 	}
 	c.waits = w
 	return true
 }
 
-func (n *node) share(service string) *budget.Share {
+func (n *node) share(service string) *budget.Throttle {
 	s := n.retries[service]
 	if s == nil {
-		s = &budget.Share{}
+		s = &budget.Throttle{}
 		n.retries[service] = s
 	}
 	return s
@@ -162,7 +162,7 @@
 		Service: c.kind.Service, Rank: c.rank, Depth: c.depth, Now: p.now, Avoid: c.avoid, AvoidIfOthers: c.last == fault.Rejected,
 		Options: route.Options{SpillAt: p.fleet.Policy.SpillAt, EjectMax: p.fleet.Policy.EjectMax, Ramp: p.fleet.Policy.Ramp},
 	}
-	if c.state.OfferMax > 0 && c.state.Offered >= c.state.OfferMax {
+	if c.state.MaxOffered > 0 && c.state.Offered >= c.state.MaxOffered {
 		q.Among = c.sentTo
 	}
 	in, code := n.routes.Pick(&q, p.rng)
@@ -198,7 +198,7 @@
 	lease := c.pool.Lease()
 	below := &budget.Pool{}
 	below.Reset(lease)
-	repeat := c.repeat || c.state.Attempts-c.state.Free > 1
+	repeat := c.repeat || c.state.Attempts-c.state.Uncharged > 1
 	var w *work
 	open, boot := true, n.boot
 	back := func(a answer) {
@@ -208,10 +208,10 @@
 		open = false
 		c.cancel = nil
 		if a.code == fault.PeerSilent {
-			c.pool.Lose(lease)
+			c.pool.ForfeitLease(lease)
 			in.Seen.CutOff(true)
 		} else {
-			c.pool.Settle(lease, a.spent)
+			c.pool.SettleLease(lease, a.spent)
 			n.pathOf(c).Observe(c.root.Name, c.kind.Service, a.path, p.now)
 			a.report.Took = p.now - began
 		}
@@ -223,7 +223,7 @@
 			return
 		}
 		open = false
-		c.pool.Lose(lease)
+		c.pool.ForfeitLease(lease)
 		in.Seen.End(p.now, route.Report{Waited: p.now - began}, p.eject())
 		p.after(way, func() {
 			if w != nil {
@@ -279,16 +279,16 @@
 
 func (n *node) mayRetry(c *call, in *route.Instance, a answer) bool {
 	p := n.p
-	switch retry.Decide(c.state, retry.Failure{Code: a.code, Run: a.run, Chosen: in != nil}) {
-	case retry.Free:
-		c.state.Free++
+	switch retry.Decide(c.state, retry.Failure{Code: a.code, Execution: a.run, InstanceChosen: in != nil}) {
+	case retry.RetryUncharged:
+		c.state.Uncharged++
 		return true
-	case retry.Paid:
-		if !c.pool.Spend() {
+	case retry.RetryCharged:
+		if !c.pool.TrySpend() {
 			return false
 		}
-		if !n.share(c.kind.Service).Spend(p.now, c.rank, p.limits) {
-			c.pool.Settle(1, 0)
+		if !n.share(c.kind.Service).AllowRetry(p.now, c.rank, p.limits) {
+			c.pool.SettleLease(1, 0)
 			return false
 		}
 		return true
--- a/internal/fleetmodel/play.go
+++ b/internal/fleetmodel/play.go
@@ -99,8 +99,8 @@
 	})
 	n.server.busy = 0
 	n.waiting = map[*admission.Waiter]*work{}
-	n.retries = map[string]*budget.Share{}
-	n.waits = map[string]*admission.Waits{}
+	n.retries = map[string]*budget.Throttle{}
+	n.waits = map[string]*admission.Bulkhead{}
 	n.callers = map[*call]func(){}
 	n.entered, n.nested = &pathlevel.Table{}, &pathlevel.Table{}
 	n.routes = p.snapshot(n)
@@ -188,7 +188,7 @@
 	c := &call{
 		kind: r.kind, root: r.kind, rank: rank.Make(r.kind.Class, uint8(p.rng.IntN(rank.Cohorts))), pool: &budget.Pool{},
 		deadline: p.now + r.kind.Deadline,
-		state:    retry.Call{Replayable: true, Idempotent: r.kind.Idempotent, OfferMax: r.kind.OfferMax},
+		state:    retry.Call{Replayable: true, Idempotent: r.kind.Idempotent, MaxOffered: r.kind.OfferMax},
 	}
 	c.pool.Reset(p.fleet.Policy.RetryBudget)
 	c.done = func(a answer) { p.answered(r, a) }
@@ -221,7 +221,7 @@
 	r.left--
 	pause := hastyPause
 	if !r.hasty {
-		pause = retry.ComeBackInTime(a.level, r.kind.Objective, p.rng.Float64())
+		pause = retry.RetryAfterWithin(a.level, r.kind.Objective, p.rng.Float64())
 	}
 	p.after(pause, func() { p.ask(r) })
 }
--- a/internal/fleetmodel/work.go
+++ b/internal/fleetmodel/work.go
@@ -38,7 +38,7 @@
 	w := &work{n: n, boot: n.boot, call: c, pool: pool, repeat: repeat, done: done}
 	p.works[w] = true
 	w.waiter.Request = admission.Request{
-		Rank: c.rank, Depth: c.depth, Kind: c.kind.index, Deadline: c.deadline, Busy: n.nested.Level(c.root.Name, p.now) > 0,
+		Rank: c.rank, Depth: c.depth, Kind: c.kind.index, Deadline: c.deadline, DownstreamOverloaded: n.nested.Level(c.root.Name, p.now) > 0,
 	}
 	d := n.guard.Arrive(p.now, &w.waiter)
 	if evicted := n.waiting[d.Evicted]; d.Evicted != nil {
@@ -46,20 +46,20 @@
 		evicted.refuse(fault.Overload)
 	}
 	switch d.Verdict {
-	case admission.Admit:
+	case admission.Admitted:
 		w.start()
-	case admission.Refuse:
+	case admission.Refused:
 		w.refuse(d.Code)
-	case admission.Wait:
+	case admission.Enqueued:
 		n.waiting[&w.waiter] = w
-		p.after(w.waiter.GiveUp()-p.now, func() { w.giveUp(fault.QueueTimeout) })
+		p.after(w.waiter.QueueDeadline()-p.now, func() { w.giveUp(fault.QueueTimeout) })
 	}
 	return w
 }
 
 // giveUp ends a wait.
 func (w *work) giveUp(code fault.Code) {
-	if w.ended || w.running || w.boot != w.n.boot || !w.n.guard.Expire(w.n.p.now, &w.waiter) {
+	if w.ended || w.running || w.boot != w.n.boot || !w.n.guard.RemoveWaiter(w.n.p.now, &w.waiter) {
 		return
 	}
 	delete(w.n.waiting, &w.waiter)
@@ -105,7 +105,7 @@
 	c := &call{
 		kind: kind, root: w.call.root, rank: w.call.rank, depth: uint8(min(255, int(w.call.depth)+1+w.finished)),
 		repeat: w.repeat, parent: w, pool: w.pool, deadline: min(w.call.deadline, p.now+kind.Deadline),
-		state: retry.Call{Replayable: true, Idempotent: kind.Idempotent, OfferMax: kind.OfferMax},
+		state: retry.Call{Replayable: true, Idempotent: kind.Idempotent, MaxOffered: kind.OfferMax},
 	}
 	c.done = func(a answer) {
 		if !w.alive() {
@@ -126,9 +126,9 @@
 func (w *work) finish() {
 	p := w.n.p
 	took := p.now - w.since
-	out := admission.Outcome{Kind: w.call.kind.index, Took: took}
+	out := admission.Outcome{Kind: w.call.kind.index, ServiceTime: took}
 	if w.failed {
-		out.Took = 0
+		out.ServiceTime = 0
 	}
 	lost := p.rng.Float64() < w.n.server.lose
 	w.release(out)
@@ -146,7 +146,7 @@
 	n, p := w.n, w.n.p
 	w.running = false
 	n.server.busy--
-	next, late := n.guard.Done(p.now, o, nil)
+	next, late := n.guard.Finish(p.now, o, nil)
 	for next != nil || len(late) > 0 {
 		for _, l := range late {
 			n.take(l).refuse(fault.Deadline)
@@ -154,7 +154,7 @@
 		if next != nil {
 			n.take(next).start()
 		}
-		next, late = n.guard.Next(p.now, nil)
+		next, late = n.guard.AdmitNext(p.now, nil)
 	}
 }
 
@@ -197,6 +197,6 @@
 		w.open.done = func(answer) {}
 		w.n.end(w.open, answer{code: fault.Canceled, run: fault.RunUnknown})
 	}
-	w.release(admission.Outcome{Kind: w.call.kind.index, Took: w.n.p.now - w.since, Expired: true})
+	w.release(admission.Outcome{Kind: w.call.kind.index, ServiceTime: w.n.p.now - w.since, Expired: true})
 	w.end(answer{code: fault.Canceled, run: fault.RunUnknown})
 }
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -418,7 +418,7 @@
 }
 
 // WriteLatencies writes the latency histograms of callers' requests as text.
-func (n *Node) WriteLatencies(w io.Writer) { n.latencies.Write(w) }
+func (n *Node) WriteLatencies(w io.Writer) { n.latencies.WriteText(w) }
 
 // serveVars returns the expvar variables and this node's status. The status is not
 // registered with expvar, so several nodes can run in one test process.
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -52,9 +52,9 @@
 	n.stats.calls.Add(1)
 	retries, limits := n.retryThrottle(c.service), retryLimits(c.policy)
 	if c.repeat {
-		retries.Repeat(n.clock(), limits)
+		retries.RecordRetry(n.clock(), limits)
 	} else {
-		retries.First(n.clock(), limits)
+		retries.RecordFirstAttempt(n.clock(), limits)
 	}
 	for {
 		a, in, ferr := n.attempt(c)
@@ -174,22 +174,22 @@
 const baselineRetries = 3
 
 // mayRetry decides whether a failed call is sent once more, and pays for it.
-func (n *Node) mayRetry(c *call, in *route.Instance, e *fault.Error, retries *budget.Share) bool {
+func (n *Node) mayRetry(c *call, in *route.Instance, e *fault.Error, retries *budget.Throttle) bool {
 	if c.scope.Err() != fault.None {
 		return false
 	}
 	if c.policy.Mode != admission.ModeFull {
 		return c.replayable() && c.attempts <= baselineRetries
 	}
-	f := retry.Failure{Chosen: in != nil}
+	f := retry.Failure{InstanceChosen: in != nil}
 	if e != nil {
-		f.Code, f.Run = e.Code, e.Run
+		f.Code, f.Execution = e.Code, e.Run
 	}
 	switch retry.Decide(n.retryState(c), f) {
-	case retry.Free:
+	case retry.RetryUncharged:
 		c.free++
 		return true
-	case retry.Paid:
+	case retry.RetryCharged:
 		return n.payRetry(c, retries)
 	default:
 		return false
@@ -197,12 +197,12 @@
 }
 
 // payRetry takes a retry from the call's pool and from the share of its service.
-func (n *Node) payRetry(c *call, retries *budget.Share) bool {
-	if !c.pool.Spend() {
+func (n *Node) payRetry(c *call, retries *budget.Throttle) bool {
+	if !c.pool.TrySpend() {
 		return false
 	}
-	if !retries.Spend(n.clock(), c.rank, retryLimits(c.policy)) {
-		c.pool.Settle(1, 0)
+	if !retries.AllowRetry(n.clock(), c.rank, retryLimits(c.policy)) {
+		c.pool.SettleLease(1, 0)
 		return false
 	}
 	return true
@@ -212,8 +212,8 @@
 func (n *Node) retryState(c *call) retry.Call {
 	return retry.Call{
 		Replayable: c.replayable(), Idempotent: c.policy.Idempotent,
-		Attempts: c.attempts, Free: c.free, Offered: len(c.sentTo), OfferMax: c.policy.AttemptsMax,
-		Ends: max(c.broken, n.quarantine.ends(c)),
+		Attempts: c.attempts, Uncharged: c.free, Offered: len(c.sentTo), MaxOffered: c.policy.AttemptsMax,
+		Terminations: max(c.broken, n.quarantine.ends(c)),
 	}
 }
 
@@ -333,7 +333,7 @@
 	}
 	wa, err := n.peers.client(in.Addr, c.policy.Silence).Do(c.scope, req, c.body, c.stream)
 	if err != nil {
-		c.pool.Lose(lease)
+		c.pool.ForfeitLease(lease)
 		ferr := fault.From(err)
 		report := route.Report{Failed: instanceFailed(nil, ferr)}
 		if ferr.Code == fault.Deadline {
@@ -349,7 +349,7 @@
 		return nil, ferr
 	}
 	r := &wa.Reply
-	c.pool.Settle(lease, int(r.Spent))
+	c.pool.SettleLease(lease, int(r.Spent))
 	n.pathsOf(c).Observe(c.root, c.service, r.PathLevel, n.clock())
 	a := &answer{status: int(r.Status), header: r.Header, length: r.BodyLen, body: wa.Body, close: wa.Close}
 	var ferr *fault.Error
--- a/internal/node/gate.go
+++ b/internal/node/gate.go
@@ -17,7 +17,7 @@
 	clock func() time.Duration
 
 	mu    sync.Mutex
-	guard *admission.Guard
+	guard *admission.Limiter
 	late  []*admission.Waiter
 }
 
@@ -47,13 +47,13 @@
 	if d.Evicted != nil {
 		d.Evicted.Wake <- fault.Overload
 	}
-	giveUp := w.GiveUp()
+	giveUp := w.QueueDeadline()
 	g.mu.Unlock()
 	switch d.Verdict {
-	case admission.Admit:
+	case admission.Admitted:
 		waiterPool.Put(w)
 		return fault.None
-	case admission.Refuse:
+	case admission.Refused:
 		waiterPool.Put(w)
 		return d.Code
 	}
@@ -65,7 +65,7 @@
 	if !s.Notify(canceled) {
 		return g.leaveQueue(w, s.Err())
 	}
-	defer s.Silence()
+	defer s.StopNotify()
 	t := time.NewTimer(giveUp - g.clock())
 	defer t.Stop()
 	select {
@@ -83,7 +83,7 @@
 // slot it gave is handed back.
 func (g *gate) leaveQueue(w *admission.Waiter, code fault.Code) fault.Code {
 	g.mu.Lock()
-	left := g.guard.Expire(g.clock(), w)
+	left := g.guard.RemoveWaiter(g.clock(), w)
 	g.mu.Unlock()
 	if left {
 		waiterPool.Put(w)
@@ -106,7 +106,7 @@
 	g.mu.Lock()
 	now := g.clock()
 	var next *admission.Waiter
-	next, g.late = g.guard.Done(now, o, g.late[:0])
+	next, g.late = g.guard.Finish(now, o, g.late[:0])
 	g.refuseLate()
 	if next != nil {
 		next.Wake <- fault.None
@@ -127,7 +127,7 @@
 func (g *gate) wakeAll(now time.Duration) {
 	for {
 		var next *admission.Waiter
-		next, g.late = g.guard.Next(now, g.late[:0])
+		next, g.late = g.guard.AdmitNext(now, g.late[:0])
 		g.refuseLate()
 		if next == nil {
 			return
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -52,7 +52,7 @@
 	kind := n.kinds.index(c.target)
 	code := n.gate.enter(c.scope, admission.Request{
 		Rank: c.rank, Depth: c.depth, Kind: kind, Deadline: n.clock() + c.scope.Remaining(),
-		Busy: n.nestedLevels.Level(c.root, n.clock()) > 0,
+		DownstreamOverloaded: n.nestedLevels.Level(c.root, n.clock()) > 0,
 	})
 	if code != fault.None {
 		p.applyEvent(requestEventRefuse)
@@ -88,7 +88,7 @@
 		ferr := fault.From(err)
 		out := admission.Outcome{Kind: kind}
 		if ferr.Code == fault.Deadline {
-			out.Took, out.Expired = time.Since(started), true
+			out.ServiceTime, out.Expired = time.Since(started), true
 		}
 		n.gate.leave(out)
 		if ferr.Run == fault.RunNo {
@@ -126,7 +126,7 @@
 		}
 		resp.Close()
 		n.endWork(w)
-		n.gate.leave(admission.Outcome{Kind: kind, Took: took, Expired: expired, Pushback: pushback})
+		n.gate.leave(admission.Outcome{Kind: kind, ServiceTime: took, Expired: expired, Pushback: pushback})
 	}
 	if n.opt.HTTPAdapter != nil && c.method != http.MethodHead {
 		if err := a.readWhole(); err != nil {
@@ -247,7 +247,7 @@
 	h[HeaderCall] = []string{w.token}
 	h[HeaderRemaining] = []string{milliseconds(c.scope.Remaining())}
 	h[HeaderClass] = []string{c.rank.Class().String()}
-	h[HeaderBudget] = []string{strconv.Itoa(pool.Left())}
+	h[HeaderBudget] = []string{strconv.Itoa(pool.Remaining())}
 	return &http.Request{Method: c.method, URL: u, Host: be.client.Addr(), Header: h, ContentLength: c.bodyLen}
 }
 
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -97,7 +97,7 @@
 
 // deepServer is a backend server of the deepest service with its guard.
 type deepServer struct {
-	guard *admission.Guard
+	guard *admission.Limiter
 	speed float64
 	gone  bool
 	done  map[*admission.Waiter]func(fault.Code)
@@ -172,7 +172,7 @@
 	}
 	l := m.entries[r.entry].Level(modelNames[r.kind], m.now)
 	if !l.Admits(r.rank, 0) {
-		m.refuse(r, retry.ComeBack(l, 0.5))
+		m.refuse(r, retry.RetryAfter(l, 0.5))
 		return
 	}
 	m.after(m.draw(modelAbove[r.kind]), func() { m.call(r) })
@@ -223,13 +223,13 @@
 			m.end(s, d.Evicted, fault.Overload)
 		}
 		switch d.Verdict {
-		case admission.Admit:
+		case admission.Admitted:
 			m.start(s, w)
-		case admission.Refuse:
+		case admission.Refused:
 			m.end(s, w, d.Code)
-		case admission.Wait:
-			m.after(w.GiveUp()-m.now, func() {
-				if s.guard.Expire(m.now, w) {
+		case admission.Enqueued:
+			m.after(w.QueueDeadline()-m.now, func() {
+				if s.guard.RemoveWaiter(m.now, w) {
 					m.end(s, w, fault.QueueTimeout)
 				}
 			})
@@ -245,7 +245,7 @@
 	}
 	took := time.Duration(float64(m.draw(modelWork[kind])) * slow / s.speed)
 	m.after(took, func() {
-		next, late := s.guard.Done(m.now, admission.Outcome{Kind: uint8(kind), Took: took}, nil)
+		next, late := s.guard.Finish(m.now, admission.Outcome{Kind: uint8(kind), ServiceTime: took}, nil)
 		for next != nil || len(late) > 0 {
 			for _, l := range late {
 				m.end(s, l, fault.Deadline)
@@ -254,7 +254,7 @@
 				break
 			}
 			m.start(s, next)
-			next, late = s.guard.Next(m.now, nil)
+			next, late = s.guard.AdmitNext(m.now, nil)
 		}
 		m.end(s, w, fault.None)
 	})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -483,29 +483,29 @@
 }
 
 // retryThrottle returns the limit on retries that calls to a service share.
-func (n *Node) retryThrottle(service string) *budget.Share {
+func (n *Node) retryThrottle(service string) *budget.Throttle {
 	if v, ok := n.retryThrottles.Load(service); ok {
-		return v.(*budget.Share)
+		return v.(*budget.Throttle)
 	}
-	v, _ := n.retryThrottles.LoadOrStore(service, &budget.Share{})
-	return v.(*budget.Share)
+	v, _ := n.retryThrottles.LoadOrStore(service, &budget.Throttle{})
+	return v.(*budget.Throttle)
 }
 
 // acquireBulkhead counts a nested call against the share of this node's slots that may
 // wait on one called service, and reports whether the call may proceed. If so,
 // the returned Waits must be released afterwards.
-func (n *Node) acquireBulkhead(c *call) (*admission.Waits, bool) {
+func (n *Node) acquireBulkhead(c *call) (*admission.Bulkhead, bool) {
 	v, ok := n.bulkheads.Load(c.service)
 	if !ok {
-		v, _ = n.bulkheads.LoadOrStore(c.service, &admission.Waits{})
+		v, _ = n.bulkheads.LoadOrStore(c.service, &admission.Bulkhead{})
 	}
-	w := v.(*admission.Waits)
+	w := v.(*admission.Bulkhead)
 	be := n.local.Load()
 	if be == nil {
-		w.Hold()
+		w.ForceAcquire()
 		return w, true
 	}
-	return w, w.Take(be.slots, c.policy.ShareMax, c.rank)
+	return w, w.TryAcquire(be.slots, c.policy.ShareMax, c.rank)
 }
 
 // reportEjection logs that an instance was ejected from routing, once per ejection.
--- a/internal/pathlevel/pathlevel.go
+++ b/internal/pathlevel/pathlevel.go
@@ -1,6 +1,5 @@
-// Package pathlevel keeps the levels of the services that requests of each root
-// kind call, as a node learns them from answers. It is on the way of every request:
-// reading takes no lock, and what is written are atomic words.
+// Package pathlevel tracks the admission levels of the services called for each root
+// kind, as reported in answers. Every request uses it, so reads take no lock.
 package pathlevel
 
 import (
@@ -12,77 +11,78 @@
 	"github.com/umberthread/umberthread/route"
 )
 
-// Table remembers, per root kind, the admission levels of the services that
-// requests of the kind call from this node, as their answers report them. The
-// highest is the level of the path: a request that does not pass it would be
-// refused further down, after work was done for it. A node learns only the
-// paths of the kinds that pass through it, whatever the size of the fleet. It is safe for concurrent
-// use.
+// Table holds, per root kind, the admission levels of the services that requests of the
+// kind call from this node, as their answers report them. The highest is the path's
+// level: a request below it would be refused downstream after work was done for it. A
+// node tracks only the root kinds that pass through it. It is safe for concurrent use.
 type Table struct {
-	roots sync.Map // root scope -> *path
+	paths sync.Map // root kind -> *rootPath
 }
 
-// path is a short list of called services. It only grows, and is copied to
-// do so; the words in it are atomic.
-type path struct {
-	mu    sync.Mutex
-	edges atomic.Pointer[[]*edge]
+// rootPath is the list of services called for one root kind. It only grows and is
+// copied on write; the list's entries are updated atomically.
+type rootPath struct {
+	mu     sync.Mutex
+	levels atomic.Pointer[[]*serviceLevel]
 }
 
-type edge struct {
-	service string
-	level   atomic.Uint32
-	at      atomic.Int64
+// serviceLevel is the last known level of a called service.
+type serviceLevel struct {
+	service   string
+	level     atomic.Uint32
+	updatedAt atomic.Int64
 }
 
 const (
-	// edgeKeep is the share of the old level that an answer leaves which
-	// follows at once: answers come from several instances, whose levels
-	// differ.
-	edgeKeep = 0.6
-	// edgeMemory is the age from which the old level says nothing beside a
-	// new answer. Most nodes see few requests of a kind.
-	edgeMemory = 200 * time.Millisecond
+	// previousLevelWeight is the weight of the previous level when a new answer
+	// follows at once. Averaging evens out the levels of different instances.
+	previousLevelWeight = 0.6
+	// previousLevelMemory is the age at which the previous level has no weight left.
+	// It is short because most nodes see few requests of a kind.
+	previousLevelMemory = 200 * time.Millisecond
 )
 
-// Observe takes in the path level that an answer of service reported.
+// Observe records the path level l reported in an answer of service. now is the time
+// since a fixed moment.
 func (t *Table) Observe(root, service string, l rank.Level, now time.Duration) {
-	v, ok := t.roots.Load(root)
+	v, ok := t.paths.Load(root)
 	if !ok {
-		v, _ = t.roots.LoadOrStore(root, &path{})
+		v, _ = t.paths.LoadOrStore(root, &rootPath{})
 	}
-	e := v.(*path).edge(service)
+	e := v.(*rootPath).findOrAdd(service)
 	old := rank.Level(e.level.Load())
 	keep := 0.0
-	if at := e.at.Load(); at != 0 {
-		keep = edgeKeep * max(0, 1-float64(now-time.Duration(at))/float64(edgeMemory))
+	if at := e.updatedAt.Load(); at != 0 {
+		keep = previousLevelWeight * max(0, 1-float64(now-time.Duration(at))/float64(previousLevelMemory))
 	}
 	next := rank.Level(float64(old)*keep + float64(l)*(1-keep))
 	if next != old {
 		e.level.Store(uint32(next))
 	}
-	e.at.Store(int64(now))
+	e.updatedAt.Store(int64(now))
 }
 
-// Level returns the level of the path of a root kind, faded by its age.
+// Level returns the highest level on the path of a root kind, decayed by age, or 0 if
+// none is known.
 func (t *Table) Level(root string, now time.Duration) rank.Level {
-	v, ok := t.roots.Load(root)
+	v, ok := t.paths.Load(root)
 	if !ok {
 		return 0
 	}
-	edges := v.(*path).edges.Load()
-	if edges == nil {
+	levels := v.(*rootPath).levels.Load()
+	if levels == nil {
 		return 0
 	}
 	var highest rank.Level
-	for _, e := range *edges {
-		l := route.Fade(rank.Level(e.level.Load()), now-time.Duration(e.at.Load()))
+	for _, e := range *levels {
+		l := route.Fade(rank.Level(e.level.Load()), now-time.Duration(e.updatedAt.Load()))
 		highest = max(highest, l)
 	}
 	return highest
 }
 
-func (p *path) edge(service string) *edge {
+// findOrAdd returns the entry of a service, and adds it if absent.
+func (p *rootPath) findOrAdd(service string) *serviceLevel {
 	if e := p.find(service); e != nil {
 		return e
 	}
@@ -91,22 +91,23 @@
 	if e := p.find(service); e != nil {
 		return e
 	}
-	e := &edge{service: service}
-	var next []*edge
-	if old := p.edges.Load(); old != nil {
+	e := &serviceLevel{service: service}
+	var next []*serviceLevel
+	if old := p.levels.Load(); old != nil {
 		next = append(next, *old...)
 	}
 	next = append(next, e)
-	p.edges.Store(&next)
+	p.levels.Store(&next)
 	return e
 }
 
-func (p *path) find(service string) *edge {
-	edges := p.edges.Load()
-	if edges == nil {
+// find returns the entry of a service, or nil.
+func (p *rootPath) find(service string) *serviceLevel {
+	levels := p.levels.Load()
+	if levels == nil {
 		return nil
 	}
-	for _, e := range *edges {
+	for _, e := range *levels {
 		if e.service == service {
 			return e
 		}
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -105,7 +105,7 @@
 	if a.conn == nil {
 		return
 	}
-	a.s.Unbind()
+	a.s.StopInterrupt()
 	if a.body.done && len(a.body.rest) == 0 && a.body.err == nil && a.s.Err() == fault.None {
 		a.conn.happen(connWhole)
 		a.c.put(a.conn)
@@ -125,14 +125,14 @@
 		return nil, fault.Wrap(fault.PeerLost, err, "cannot connect to "+c.addr)
 	}
 	conn.happen(connTake)
-	if !s.Bind(conn.Conn) {
+	if !s.InterruptOnCancel(conn.Conn) {
 		conn.happen(connWhole)
 		c.put(conn)
 		return nil, fault.New(s.Err(), "given up before it was sent")
 	}
 	a, ferr := c.exchange(s, conn, req, whole, stream)
 	if ferr != nil {
-		s.Unbind()
+		s.StopInterrupt()
 		conn.happen(endOf(ferr))
 		return nil, ferr
 	}
