--- a/internal/node/edge.go
+++ b/internal/node/edge.go
@@ -16,7 +16,7 @@
 // Edge is how callers and backend servers speak on a platform that has header
 // fields and routes of its own. Without one, a node speaks the project's own
 // interface. Its methods are called on the way of requests, concurrently.
-type Edge interface {
+type HTTPAdapter interface {
 	// Arrive reads what a caller's request says of itself. It may change the
 	// request's header: what it leaves there travels on.
 	Arrive(r *http.Request) (Arrival, *fault.Error)
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -77,7 +77,7 @@
 
 	// Edge speaks to callers and backend servers in place of the project's
 	// own interface; nil for none.
-	Edge Edge `toml:"-"`
+	Edge HTTPAdapter `toml:"-"`
 	// wrapLog lets a test stand between a group and its log.
 	wrapLog func(replicaLog) replicaLog
 }
