--- a/internal/node/edge.go
+++ b/internal/node/edge.go
@@ -19,7 +19,7 @@
 type HTTPAdapter interface {
 	// Arrive reads what a caller's request says of itself. It may change the
 	// request's header: what it leaves there travels on.
-	Arrive(r *http.Request) (Arrival, *fault.Error)
+	Arrive(r *http.Request) (CallerRequest, *fault.Error)
 	// Refuse answers a caller at once.
 	Refuse(w http.ResponseWriter, id string, e *fault.Error)
 	// Forward sets the header fields that the backend server expects.
@@ -29,7 +29,7 @@
 }
 
 // Arrival is what a caller's request says of itself.
-type Arrival struct {
+type CallerRequest struct {
 	// ID is the request's id.
 	ID string
 	// Parent is the id of the request that this one may be a call of, "" for
