--- a/internal/node/edge.go
+++ b/internal/node/edge.go
@@ -23,9 +23,9 @@
 	// Refuse answers a caller at once.
 	Refuse(w http.ResponseWriter, id string, e *fault.Error)
 	// Forward sets the header fields that the backend server expects.
-	Forward(h http.Header, f Forwarding)
+	Forward(h http.Header, f BackendRequest)
 	// Judge reads what a backend server's answer says of itself.
-	Judge(r *http.Response, f Forwarding) Judgement
+	Judge(r *http.Response, f BackendRequest) Judgement
 }
 
 // Arrival is what a caller's request says of itself.
@@ -43,7 +43,7 @@
 }
 
 // Forwarding is what a backend server is told of a request.
-type Forwarding struct {
+type BackendRequest struct {
 	// ID is the request's id.
 	ID string
 	// Remaining is the time left.
@@ -131,7 +131,7 @@
 
 // edgeRequest makes the request for the backend server: method, path, host
 // and body are the caller's.
-func (n *Node) edgeRequest(be *local, c *call) (*http.Request, Forwarding) {
+func (n *Node) edgeRequest(be *local, c *call) (*http.Request, BackendRequest) {
 	h := make(http.Header, len(c.header)+4)
 	host := be.client.Addr()
 	for _, f := range c.header {
@@ -145,7 +145,7 @@
 		// An empty field keeps net/http from adding its own.
 		h["User-Agent"] = []string{""}
 	}
-	f := Forwarding{ID: c.id, Remaining: c.scope.Remaining(), Instance: be.instance}
+	f := BackendRequest{ID: c.id, Remaining: c.scope.Remaining(), Instance: be.instance}
 	n.opt.Edge.Forward(h, f)
 	return &http.Request{Method: c.method, URL: opaqueURL(c.path), Host: host, Header: h, ContentLength: c.bodyLen}, f
 }
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -149,7 +149,7 @@
 // exchange is one request to the backend server and what its answer says.
 type exchange struct {
 	n      *Node
-	to     Forwarding
+	to     BackendRequest
 	judged Judgement
 }
 
