--- a/internal/node/edge.go
+++ b/internal/node/edge.go
@@ -25,7 +25,7 @@
 	// Forward sets the header fields that the backend server expects.
 	Forward(h http.Header, f BackendRequest)
 	// Judge reads what a backend server's answer says of itself.
-	Judge(r *http.Response, f BackendRequest) Judgement
+	Judge(r *http.Response, f BackendRequest) ResponseClass
 }
 
 // Arrival is what a caller's request says of itself.
@@ -54,7 +54,7 @@
 }
 
 // Judgement is what an answer says of itself.
-type Judgement struct {
+type ResponseClass struct {
 	// Foreign is set if the answer belongs to another request.
 	Foreign bool
 	// NotRun is None, or why the backend server certainly did not run the
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -150,7 +150,7 @@
 type exchange struct {
 	n      *Node
 	to     BackendRequest
-	judged Judgement
+	judged ResponseClass
 }
 
 // check tells whether an answer belongs to the request.
