--- a/internal/node/edge.go
+++ b/internal/node/edge.go
@@ -56,7 +56,7 @@
 // Judgement is what an answer says of itself.
 type ResponseClass struct {
 	// Foreign is set if the answer belongs to another request.
-	Foreign bool
+	OtherRequest bool
 	// NotRun is None, or why the backend server certainly did not run the
 	// request.
 	NotRun fault.Code
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -159,7 +159,7 @@
 		return true
 	}
 	x.judged = x.n.opt.Edge.Judge(r, x.to)
-	return !x.judged.Foreign
+	return !x.judged.OtherRequest
 }
 
 func (n *Node) requestFor(be *local, c *call, w *work, pool *budget.Pool) (*http.Request, *exchange) {
