--- a/internal/node/edge.go
+++ b/internal/node/edge.go
@@ -19,7 +19,7 @@
 type HTTPAdapter interface {
 	// Arrive reads what a caller's request says of itself. It may change the
 	// request's header: what it leaves there travels on.
-	Arrive(r *http.Request) (CallerRequest, *fault.Error)
+	ParseRequest(r *http.Request) (CallerRequest, *fault.Error)
 	// Refuse answers a caller at once.
 	Refuse(w http.ResponseWriter, id string, e *fault.Error)
 	// Forward sets the header fields that the backend server expects.
@@ -69,7 +69,7 @@
 // openRouted finds the request kind of a request by its host and path.
 func (n *Node) openRouted(r *http.Request) (*call, *fault.Error) {
 	c := &call{method: r.Method, path: r.RequestURI, started: time.Now()}
-	arrival, ferr := n.opt.Edge.Arrive(r)
+	arrival, ferr := n.opt.Edge.ParseRequest(r)
 	c.id, c.caller = arrival.ID, arrival.Caller
 	if ferr != nil {
 		return c, ferr
