--- a/internal/node/edge.go
+++ b/internal/node/edge.go
@@ -21,7 +21,7 @@
 	// request's header: what it leaves there travels on.
 	ParseRequest(r *http.Request) (CallerRequest, *fault.Error)
 	// Refuse answers a caller at once.
-	Refuse(w http.ResponseWriter, id string, e *fault.Error)
+	WriteRefusal(w http.ResponseWriter, id string, e *fault.Error)
 	// Forward sets the header fields that the backend server expects.
 	Forward(h http.Header, f BackendRequest)
 	// Judge reads what a backend server's answer says of itself.
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -76,7 +76,7 @@
 // writeRefusal refuses a request that was not taken in.
 func (n *Node) writeRefusal(w http.ResponseWriter, r *http.Request, c *call, e *fault.Error) {
 	if n.opt.Edge != nil {
-		n.opt.Edge.Refuse(w, c.id, e)
+		n.opt.Edge.WriteRefusal(w, c.id, e)
 		return
 	}
 	writeRefusal(w, r.Header.Get(HeaderRequestID), e)
@@ -246,7 +246,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	if n.opt.Edge != nil {
-		n.opt.Edge.Refuse(w, c.id, e)
+		n.opt.Edge.WriteRefusal(w, c.id, e)
 		return
 	}
 	writeRefusal(w, c.id, e)
