--- a/internal/node/edge.go
+++ b/internal/node/edge.go
@@ -23,7 +23,7 @@
 	// Refuse answers a caller at once.
 	WriteRefusal(w http.ResponseWriter, id string, e *fault.Error)
 	// Forward sets the header fields that the backend server expects.
-	Forward(h http.Header, f BackendRequest)
+	SetRequestHeaders(h http.Header, f BackendRequest)
 	// Judge reads what a backend server's answer says of itself.
 	Judge(r *http.Response, f BackendRequest) ResponseClass
 }
@@ -146,7 +146,7 @@
 		h["User-Agent"] = []string{""}
 	}
 	f := BackendRequest{ID: c.id, Remaining: c.scope.Remaining(), Instance: be.instance}
-	n.opt.Edge.Forward(h, f)
+	n.opt.Edge.SetRequestHeaders(h, f)
 	return &http.Request{Method: c.method, URL: opaqueURL(c.path), Host: host, Header: h, ContentLength: c.bodyLen}, f
 }
 
