--- a/internal/node/edge.go
+++ b/internal/node/edge.go
@@ -25,7 +25,7 @@
 	// Forward sets the header fields that the backend server expects.
 	SetRequestHeaders(h http.Header, f BackendRequest)
 	// Judge reads what a backend server's answer says of itself.
-	Judge(r *http.Response, f BackendRequest) ResponseClass
+	ClassifyResponse(r *http.Response, f BackendRequest) ResponseClass
 }
 
 // Arrival is what a caller's request says of itself.
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -158,7 +158,7 @@
 	if x.n.opt.Edge == nil {
 		return true
 	}
-	x.judged = x.n.opt.Edge.Judge(r, x.to)
+	x.judged = x.n.opt.Edge.ClassifyResponse(r, x.to)
 	return !x.judged.OtherRequest
 }
 
