--- a/internal/node/headers.go
+++ b/internal/node/headers.go
@@ -27,7 +27,7 @@
 	// HeaderReplayed is on answers given from the record of an earlier run.
 	HeaderReplayed = "Umber-Replayed"
 	// HeaderKey is the standard idempotency key.
-	HeaderKey = "Idempotency-Key"
+	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
 // hopByHop are the fields that RFC 9110 ties to one connection, and those
--- a/internal/node/once.go
+++ b/internal/node/once.go
@@ -28,7 +28,7 @@
 // quorum of replicas before any backend server is called, and the outcome is
 // stored for resends.
 func (n *Node) serveOnce(w http.ResponseWriter, r *http.Request, c *call) {
-	key := r.Header.Get(HeaderKey)
+	key := r.Header.Get(HeaderIdempotencyKey)
 	if key == "" {
 		n.refuse(w, c, fault.New(fault.KeyRequired, "this request kind needs an Idempotency-Key, a UUID of version 7"))
 		return
--- a/internal/node/partition_test.go
+++ b/internal/node/partition_test.go
@@ -147,7 +147,7 @@
 	}
 	g.Eventually(func() bool { return cut.view.Load().domains["a"].Reachable }, 10*time.Second).Should(gomega.BeFalse())
 	// What it cannot do it refuses, and says truly that it was not run.
-	res := cut.call("suva/claims-hub/lodge", "", nil, map[string]string{HeaderKey: uuid.Must(uuid.NewV7()).String()})
+	res := cut.call("suva/claims-hub/lodge", "", nil, map[string]string{HeaderIdempotencyKey: uuid.Must(uuid.NewV7()).String()})
 	g.Expect(res.problem().Reason).To(gomega.Equal("no-quorum"))
 	g.Expect(res.problem().Run).To(gomega.Equal("no"))
 	status, _ := cut.change("", 1, settings.Entries{"#deadline": "1s"})
--- a/internal/node/replica_test.go
+++ b/internal/node/replica_test.go
@@ -151,7 +151,7 @@
 		go func() {
 			defer wg.Done()
 			for range 20 {
-				res := nodes[i%3].call("suva/claims-hub/lodge", "", []byte("storm"), map[string]string{HeaderKey: key})
+				res := nodes[i%3].call("suva/claims-hub/lodge", "", []byte("storm"), map[string]string{HeaderIdempotencyKey: key})
 				if res.status == 200 {
 					return
 				}
@@ -162,7 +162,7 @@
 	}
 	wg.Wait()
 	g.Expect(server.KeyRuns()[key]).To(gomega.Equal(1))
-	other := nodes[0].call("suva/claims-hub/lodge", "", []byte("other"), map[string]string{HeaderKey: key})
+	other := nodes[0].call("suva/claims-hub/lodge", "", []byte("other"), map[string]string{HeaderIdempotencyKey: key})
 	g.Expect(other.problem().Reason).To(gomega.Equal("key-mismatch"))
 }
 
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -148,7 +148,7 @@
 	req.Header.Set(node.HeaderRequestID, a.id)
 	req.Header.Set(node.HeaderRemaining, strconv.FormatInt(callerDeadline.Milliseconds(), 10))
 	if key != "" {
-		req.Header.Set(node.HeaderKey, key)
+		req.Header.Set(node.HeaderIdempotencyKey, key)
 	}
 	resp, err := c.client.Do(req)
 	if err != nil {
