--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -37,18 +37,18 @@
 
 // Trace is one request as umberctl requests shows it.
 type Trace struct {
-	Time      time.Time `json:"time"`
-	RequestID string    `json:"request_id"`
-	Target    string    `json:"target"`
-	Root      string    `json:"root"`
-	Rank      uint16    `json:"rank"`
-	Depth     uint8     `json:"depth"`
-	Attempts  int       `json:"attempts"`
-	Spent     int       `json:"retries_spent"`
-	Level     uint16    `json:"path_level"`
-	Reason    string    `json:"reason"`
-	Run       string    `json:"run"`
-	TookUs    int64     `json:"took_us"`
+	Time         time.Time `json:"time"`
+	RequestID    string    `json:"request_id"`
+	Target       string    `json:"target"`
+	Root         string    `json:"root"`
+	Rank         uint16    `json:"rank"`
+	Depth        uint8     `json:"depth"`
+	Attempts     int       `json:"attempts"`
+	RetriesSpent int       `json:"retries_spent"`
+	Level        uint16    `json:"path_level"`
+	Reason       string    `json:"reason"`
+	Run          string    `json:"run"`
+	TookUs       int64     `json:"took_us"`
 }
 
 // Event is one decision of note as umberctl events shows it.
