--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -452,7 +452,7 @@
 	}
 	n.traces.add(Trace{
 		Time: time.Now(), RequestID: c.id, Target: c.target, Root: c.root, Rank: uint16(c.rank), Depth: c.depth,
-		Attempts: c.attempts, RetriesSpent: c.pool.Spent(), Level: uint16(n.entered.Level(c.root, n.clock())),
+		Attempts: c.attempts, RetriesSpent: c.pool.Spent(), PathLevel: uint16(n.entered.Level(c.root, n.clock())),
 		Reason: code.String(), Run: run.String(), TookUs: took.Microseconds(),
 	})
 }
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -45,7 +45,7 @@
 	Depth        uint8     `json:"depth"`
 	Attempts     int       `json:"attempts"`
 	RetriesSpent int       `json:"retries_spent"`
-	Level        uint16    `json:"path_level"`
+	PathLevel    uint16    `json:"path_level"`
 	Reason       string    `json:"reason"`
 	Run          string    `json:"run"`
 	TookUs       int64     `json:"took_us"`
