--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -312,8 +312,8 @@
 // copyBufferBytes holds most responses in one piece.
 const copyBufferBytes = 16 << 10
 
-// copyBody copies a response body to its caller through a pooled buffer, which io.Copy would
-// allocate.
+// copyBody copies a response body to its caller through a pooled buffer; io.Copy would allocate
+// one for each response.
 func copyBody(w io.Writer, body io.Reader) error {
 	buf := copyBuffers.Get().(*[]byte)
 	defer copyBuffers.Put(buf)
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -73,7 +73,8 @@
 	})
 }
 
-// refreshIdle checks idle connections of each peer, so that live ones are available.
+// refreshIdle pings idle connections of each peer, so that live ones are available. It blocks
+// while one is silent.
 func (p *peerClients) refreshIdle() {
 	p.clients.Range(func(_, v any) bool {
 		v.(*wire.Client).Refresh()
@@ -81,7 +82,7 @@
 	})
 }
 
-// silentConnections returns how many connections were closed for silence.
+// silentConnections returns how many connections were found silent.
 func (p *peerClients) silentConnections() int64 {
 	var n int64
 	p.clients.Range(func(_, v any) bool {
