--- a/internal/ctl/quarantine.go
+++ b/internal/ctl/quarantine.go
@@ -47,10 +47,10 @@
 	byMark := map[string]*Quarantined{}
 	for _, list := range lists {
 		for _, s := range list {
-			m := byMark[s.Mark]
+			m := byMark[s.Fingerprint]
 			if m == nil {
-				m = &Quarantined{Mark: s.Mark, NextMs: s.LeftMs}
-				byMark[s.Mark] = m
+				m = &Quarantined{Mark: s.Fingerprint, NextMs: s.LeftMs}
+				byMark[s.Fingerprint] = m
 			}
 			m.Nodes++
 			m.Request = cmp.Or(m.Request, s.Request)
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -189,8 +189,8 @@
 // QuarantineStatus describes a quarantined fingerprint of a node.
 type QuarantineStatus struct {
 	// Mark is the fingerprint in hexadecimal, and Request describes one if this node knows it.
-	Mark    string `json:"mark"`
-	Request string `json:"request,omitempty"`
+	Fingerprint string `json:"mark"`
+	Request     string `json:"request,omitempty"`
 	// Ends is the number of backend servers that terminated, Round the number of quarantines
 	// so far, and LeftMs the time until the next trial, in milliseconds.
 	Ends   int   `json:"ends"`
@@ -206,10 +206,10 @@
 	out := make([]QuarantineStatus, 0, len(held))
 	for _, h := range held {
 		out = append(out, QuarantineStatus{
-			Mark: strconv.FormatUint(uint64(h.Mark), 16), Request: q.fingerprintDescriptions[h.Mark],
+			Fingerprint: strconv.FormatUint(uint64(h.Mark), 16), Request: q.fingerprintDescriptions[h.Mark],
 			Ends: h.Ends, Round: h.Round, LeftMs: h.Left.Milliseconds(),
 		})
 	}
-	slices.SortFunc(out, func(a, b QuarantineStatus) int { return cmp.Compare(a.Mark, b.Mark) })
+	slices.SortFunc(out, func(a, b QuarantineStatus) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
 	return out
 }
