--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -60,8 +60,8 @@
 func TestQuarantinedMarksAreJoinedOverNodes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	got := mergeQuarantined([][]node.QuarantineStatus{
-		{{Fingerprint: "a", Ends: 3, LeftMs: 900}, {Fingerprint: "b", Ends: 5, LeftMs: 70}},
-		{{Fingerprint: "a", Request: "f/s/k/x", Ends: 4, LeftMs: 800}},
+		{{Fingerprint: "a", Terminations: 3, LeftMs: 900}, {Fingerprint: "b", Terminations: 5, LeftMs: 70}},
+		{{Fingerprint: "a", Request: "f/s/k/x", Terminations: 4, LeftMs: 800}},
 		nil,
 	})
 	g.Expect(got).To(gomega.Equal([]Quarantined{
--- a/internal/ctl/quarantine.go
+++ b/internal/ctl/quarantine.go
@@ -54,7 +54,7 @@
 			}
 			m.Nodes++
 			m.Request = cmp.Or(m.Request, s.Request)
-			m.Ends = max(m.Ends, s.Ends)
+			m.Ends = max(m.Ends, s.Terminations)
 			m.NextMs = min(m.NextMs, s.LeftMs)
 		}
 	}
--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -325,7 +325,7 @@
 	g.Expect(c.poisonRunTimes()).To(gomega.HaveLen(ended))
 	held := late.Status().Quarantined
 	g.Expect(held).To(gomega.HaveLen(1))
-	g.Expect(held[0].Ends).To(gomega.BeNumerically(">=", 3))
+	g.Expect(held[0].Terminations).To(gomega.BeNumerically(">=", 3))
 }
 
 // Similar requests must share a content fingerprint; a streamed body counts by its prefix and
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -193,9 +193,9 @@
 	Request     string `json:"request,omitempty"`
 	// Ends is the number of backend servers that terminated, Round the number of quarantines
 	// so far, and LeftMs the time until the next trial, in milliseconds.
-	Ends   int   `json:"ends"`
-	Round  int   `json:"round"`
-	LeftMs int64 `json:"left_ms"`
+	Terminations int   `json:"ends"`
+	Round        int   `json:"round"`
+	LeftMs       int64 `json:"left_ms"`
 }
 
 // status returns the active quarantines ordered by fingerprint.
@@ -207,7 +207,7 @@
 	for _, h := range held {
 		out = append(out, QuarantineStatus{
 			Fingerprint: strconv.FormatUint(uint64(h.Mark), 16), Request: q.fingerprintDescriptions[h.Mark],
-			Ends: h.Ends, Round: h.Round, LeftMs: h.Left.Milliseconds(),
+			Terminations: h.Ends, Round: h.Round, LeftMs: h.Left.Milliseconds(),
 		})
 	}
 	slices.SortFunc(out, func(a, b QuarantineStatus) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
