--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -118,7 +118,7 @@
 // this call with unknown execution, since this backend server did run. It returns other
 // responses unchanged. With a platform adapter it only removes the internal header field.
 func (n *Node) unwrapRefusal(c *call, resp *response) (*response, *fault.Error) {
-	if headerValue(resp.header, HeaderRun) == "" {
+	if headerValue(resp.header, HeaderExecution) == "" {
 		return resp, nil
 	}
 	if n.opt.Edge != nil {
@@ -126,7 +126,7 @@
 		if c.parent != nil {
 			c.parent.nestedCallFailed.Store(true)
 		}
-		resp.header = slices.DeleteFunc(resp.header, func(f wireField) bool { return f.Name == HeaderRun })
+		resp.header = slices.DeleteFunc(resp.header, func(f wireField) bool { return f.Name == HeaderExecution })
 		return resp, nil
 	}
 	defer resp.close()
@@ -156,7 +156,7 @@
 	if c.policy.Mode != admission.ModeFull {
 		return resp.status >= http.StatusInternalServerError
 	}
-	return resp.status >= http.StatusInternalServerError && c.policy.Idempotent && headerValue(resp.header, HeaderRun) == ""
+	return resp.status >= http.StatusInternalServerError && c.policy.Idempotent && headerValue(resp.header, HeaderExecution) == ""
 }
 
 // pathLevelsFor returns the table for the path levels that this call's responses report.
@@ -315,7 +315,7 @@
 func isInstanceFailure(resp *response, e *fault.Error) bool {
 	if e == nil {
 		failed := resp.status == http.StatusInternalServerError || resp.status == http.StatusBadGateway
-		return failed && headerValue(resp.header, HeaderRun) == ""
+		return failed && headerValue(resp.header, HeaderExecution) == ""
 	}
 	switch e.Code {
 	case fault.PeerLost, fault.PeerSilent, fault.BackendLost, fault.Protocol, fault.Internal:
--- a/internal/node/headers.go
+++ b/internal/node/headers.go
@@ -23,7 +23,7 @@
 	// HeaderRetryBudget is the number of retries that the request may still cause.
 	HeaderRetryBudget = "Umber-Retry-Budget"
 	// HeaderRun states on a refusal whether the request was executed: no or unknown.
-	HeaderRun = "Umber-Run"
+	HeaderExecution = "Umber-Run"
 	// HeaderReplayed fingerprints a response from the stored outcome of an earlier execution.
 	HeaderReplayed = "Umber-Replayed"
 	// HeaderIdempotencyKey is the caller's idempotency key, a UUID of version 7.
@@ -37,7 +37,7 @@
 	"Trailer": true, "Expect": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
 	"Proxy-Authenticate": true, "Proxy-Authorization": true,
 	HeaderCallToken: true, HeaderRemaining: true, HeaderClass: true, HeaderRetryBudget: true, HeaderRequestID: true,
-	HeaderRun: true, HeaderReplayed: true,
+	HeaderExecution: true, HeaderReplayed: true,
 }
 
 // endToEndFields returns the fields of h to forward.
--- a/internal/node/honest_test.go
+++ b/internal/node/honest_test.go
@@ -25,7 +25,7 @@
 		Should(gomega.Equal("no-backend"))
 	r := entry.call("kigali/sheets/open", "told", nil, nil)
 	g.Expect(r.problem().Run).To(gomega.Equal("unknown"))
-	g.Expect(r.header.Get(HeaderRun)).To(gomega.Equal("unknown"))
+	g.Expect(r.header.Get(HeaderExecution)).To(gomega.Equal("unknown"))
 	g.Expect(r.problem().RetryAfterMs).To(gomega.BeNumerically(">", 0))
 	g.Expect(servers[0].Work()["told"].Runs).To(gomega.Equal(1))
 	g.Expect(servers[2].Work()).NotTo(gomega.HaveKey("told"))
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -103,7 +103,7 @@
 	}
 	p.happen(requestAnswer)
 	pushback := httpResp.StatusCode == http.StatusServiceUnavailable || httpResp.StatusCode == http.StatusTooManyRequests
-	pushback = pushback && httpResp.Header.Get(HeaderRun) == ""
+	pushback = pushback && httpResp.Header.Get(HeaderExecution) == ""
 	took := time.Since(started)
 	expired := httpResp.StatusCode == http.StatusGatewayTimeout
 	if httpResp.StatusCode >= http.StatusInternalServerError && !expired {
@@ -116,7 +116,7 @@
 	}
 	resp.header = appendRunHeader(resp.header, httpResp.Header)
 	if n.opt.Edge != nil && httpResp.StatusCode >= http.StatusInternalServerError && w.nestedCallFailed.Load() {
-		resp.header = append(resp.header, wireField{Name: HeaderRun, Value: fault.RunUnknown.String()})
+		resp.header = append(resp.header, wireField{Name: HeaderExecution, Value: fault.RunUnknown.String()})
 	}
 	resp.close = func() {
 		if httpResp.Whole() {
@@ -206,8 +206,8 @@
 // appendRunHeader passes on HeaderRun, so that other nodes don't attribute the failure of a
 // nested call to this instance.
 func appendRunHeader(fs []wireField, h http.Header) []wireField {
-	if v := h.Get(HeaderRun); v != "" {
-		fs = append(fs, wireField{Name: HeaderRun, Value: v})
+	if v := h.Get(HeaderExecution); v != "" {
+		fs = append(fs, wireField{Name: HeaderExecution, Value: v})
 	}
 	return fs
 }
--- a/internal/node/refusal.go
+++ b/internal/node/refusal.go
@@ -39,7 +39,7 @@
 	}
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
-	h.Set(HeaderRun, p.Run)
+	h.Set(HeaderExecution, p.Run)
 	if id != "" {
 		h.Set(HeaderRequestID, id)
 	}
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -162,7 +162,7 @@
 		return a
 	}
 	a.status = resp.StatusCode
-	a.notRun = resp.Header.Get(node.HeaderRun) == "no"
+	a.notRun = resp.Header.Get(node.HeaderExecution) == "no"
 	if a.status == http.StatusOK {
 		a.wrong = wrongAnswer(string(body), a.id, s.body)
 		return a
