--- a/internal/node/honest_test.go
+++ b/internal/node/honest_test.go
@@ -24,7 +24,7 @@
 	g.Eventually(func() string { return entry.call("kigali/sheets/open", "", nil, nil).problem().Reason }, 5*time.Second).
 		Should(gomega.Equal("no-backend"))
 	r := entry.call("kigali/sheets/open", "told", nil, nil)
-	g.Expect(r.problem().Run).To(gomega.Equal("unknown"))
+	g.Expect(r.problem().Execution).To(gomega.Equal("unknown"))
 	g.Expect(r.header.Get(HeaderExecution)).To(gomega.Equal("unknown"))
 	g.Expect(r.problem().RetryAfterMs).To(gomega.BeNumerically(">", 0))
 	g.Expect(servers[0].Work()["told"].Runs).To(gomega.Equal(1))
@@ -70,7 +70,7 @@
 		if broke.Load() > before {
 			want = "unknown"
 		}
-		g.Expect(r.problem().Run).To(gomega.Equal(want), r.body)
+		g.Expect(r.problem().Execution).To(gomega.Equal(want), r.body)
 	}
 	g.Expect(broke.Load()).To(gomega.BeNumerically(">", 0))
 	g.Expect(refused.Load()).To(gomega.BeNumerically(">", 0))
--- a/internal/node/input_test.go
+++ b/internal/node/input_test.go
@@ -58,7 +58,7 @@
 			g.Expect(r.err).NotTo(gomega.HaveOccurred())
 			g.Expect(r.header.Get("Content-Type")).To(gomega.Equal("application/problem+json"))
 			g.Expect(r.problem().Reason).To(gomega.Equal(c.want.String()))
-			g.Expect(r.problem().Run).To(gomega.Equal("no"))
+			g.Expect(r.problem().Execution).To(gomega.Equal("no"))
 		})
 	}
 	g := gomega.NewWithT(t)
--- a/internal/node/partition_test.go
+++ b/internal/node/partition_test.go
@@ -149,7 +149,7 @@
 	// What it cannot do it refuses, and says truly that it was not run.
 	res := cut.call("suva/claims-hub/lodge", "", nil, map[string]string{HeaderIdempotencyKey: uuid.Must(uuid.NewV7()).String()})
 	g.Expect(res.problem().Reason).To(gomega.Equal("no-quorum"))
-	g.Expect(res.problem().Run).To(gomega.Equal("no"))
+	g.Expect(res.problem().Execution).To(gomega.Equal("no"))
 	status, _ := cut.change("", 1, settings.Entries{"#deadline": "1s"})
 	g.Expect(status).To(gomega.Equal(503))
 	// The others go on changing settings.
--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -240,7 +240,7 @@
 	g.Expect(poison.reasons).To(gomega.HaveKey("quarantined"))
 	g.Expect(poison.last.Reason).To(gomega.Equal("quarantined"))
 	g.Expect(poison.last.Status).To(gomega.Equal(http.StatusServiceUnavailable))
-	g.Expect(poison.last.Run).To(gomega.Equal(fault.RunNo.String()))
+	g.Expect(poison.last.Execution).To(gomega.Equal(fault.RunNo.String()))
 	g.Expect(poison.last.RetryAfterMs).To(gomega.BeNumerically(">", 0))
 }
 
--- a/internal/node/refusal.go
+++ b/internal/node/refusal.go
@@ -18,7 +18,7 @@
 	// Reason is the name of the fault code.
 	Reason string `json:"reason"`
 	// Run states whether the request was executed: no or unknown.
-	Run string `json:"run"`
+	Execution string `json:"run"`
 	// RetryAfterMs is the time after which to retry, in milliseconds, 0 if a retry would fail
 	// again.
 	RetryAfterMs int64 `json:"retry_after_ms,omitempty"`
@@ -34,12 +34,12 @@
 	status := e.Code.Status()
 	p := Problem{
 		Type: problemTypePrefix + e.Code.String(), Title: http.StatusText(status), Status: status,
-		Detail: e.Error(), Reason: e.Code.String(), Run: e.Run.String(),
+		Detail: e.Error(), Reason: e.Code.String(), Execution: e.Run.String(),
 		RetryAfterMs: e.RetryAfter.Milliseconds(), RequestID: id,
 	}
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
-	h.Set(HeaderExecution, p.Run)
+	h.Set(HeaderExecution, p.Execution)
 	if id != "" {
 		h.Set(HeaderRequestID, id)
 	}
