--- a/internal/ctl/show.go
+++ b/internal/ctl/show.go
@@ -217,7 +217,7 @@
 	t := o.table("TIME", "REQUEST", "TARGET", "DEPTH", "RANK", "LEVEL", "REASON", "RUN", "ATTEMPTS", "TOOK")
 	for _, r := range out {
 		took := time.Duration(r.TookUs) * time.Microsecond
-		t.row(r.Time.UTC().Format("15:04:05.000"), r.RequestID, r.Target, r.Depth, r.Rank, r.PathLevel, r.Reason, r.Run, r.Attempts, took)
+		t.row(r.Time.UTC().Format("15:04:05.000"), r.RequestID, r.Target, r.Depth, r.Rank, r.PathLevel, r.Reason, r.Execution, r.Attempts, took)
 	}
 	return t.flush()
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -453,7 +453,7 @@
 	n.traces.add(Trace{
 		Time: time.Now(), RequestID: c.id, Target: c.target, Root: c.rootTarget, Rank: uint16(c.rank), Depth: c.depth,
 		Attempts: c.attempts, RetriesSpent: c.retryBudget.Spent(), PathLevel: uint16(n.entered.Level(c.rootTarget, n.clock())),
-		Reason: code.String(), Run: run.String(), TookUs: took.Microseconds(),
+		Reason: code.String(), Execution: run.String(), TookUs: took.Microseconds(),
 	})
 }
 
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -51,7 +51,7 @@
 	RetriesSpent int       `json:"retries_spent"`
 	PathLevel    uint16    `json:"path_level"`
 	Reason       string    `json:"reason"`
-	Run          string    `json:"run"`
+	Execution    string    `json:"run"`
 	TookUs       int64     `json:"took_us"`
 }
 
