--- a/internal/node/edge.go
+++ b/internal/node/edge.go
@@ -58,7 +58,7 @@
 	OtherRequest bool
 	// NotRun is None, or the reason if the backend server certainly did not execute the
 	// request.
-	NotRun fault.Code
+	NotExecuted fault.Code
 }
 
 // originalHostField carries the host to which the caller addressed a request from node to
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -80,8 +80,8 @@
 	p.happen(requestSend)
 	req, exchange := n.newBackendExchange(be, c, w, retryBudget)
 	httpResp, err := be.client.Do(w.scope, backend.Traits{Kind: kind, Idempotent: c.policy.Idempotent}, req, exchange.accepts)
-	if err == nil && exchange.class.NotRun != fault.None {
-		return nil, n.handleRejection(be, c, w, &p, httpResp, exchange.class.NotRun)
+	if err == nil && exchange.class.NotExecuted != fault.None {
+		return nil, n.handleRejection(be, c, w, &p, httpResp, exchange.class.NotExecuted)
 	}
 	if err != nil {
 		n.endExecution(w)
