--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -308,7 +308,7 @@
 		return
 	}
 	g.compacting = true
-	g.writer.jobs.Offer(writeJob{reset: &logReset{snap: snap, entries: g.core.Tail()}})
+	g.writer.jobs.Offer(writeJob{reset: &logReset{snapshot: snap, entries: g.core.Tail()}})
 }
 
 // members is what the decision about the membership looks at.
@@ -370,7 +370,7 @@
 			started <- start{err: fault.Newf(fault.NoQuorum, "the group has %d of %d replicas", voters, g.r.n.opt.MinVoters)}
 			return
 		}
-		if g.stall.quorum {
+		if g.stall.lacksQuorum {
 			started <- start{err: fault.New(fault.NoQuorum, "the disks of too many replicas do not answer")}
 			return
 		}
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -313,7 +313,7 @@
 	}
 	snap := raft.Form(self, nil)
 	st := raft.State{Term: snap.Term, Commit: snap.Index}
-	if err := g.resetLogAndWait(&logReset{snap: snap, state: &st}); err != nil {
+	if err := g.resetLogAndWait(&logReset{snapshot: snap, state: &st}); err != nil {
 		return err
 	}
 	next, err := openGroup(g.r, g.id, g.writer, wal.Loaded{State: st, Snapshot: snap}, g.sm)
--- a/internal/node/writer.go
+++ b/internal/node/writer.go
@@ -38,9 +38,9 @@
 
 // logReset replaces the log. A nil state keeps the last saved one.
 type logReset struct {
-	snap    raft.Snapshot
-	state   *raft.State
-	entries []raft.Entry
+	snapshot raft.Snapshot
+	state    *raft.State
+	entries  []raft.Entry
 }
 
 // writeResult is a finished job with its error.
@@ -75,7 +75,7 @@
 	if job.reset.state != nil {
 		st = *job.reset.state
 	}
-	return w.log.Reset(job.reset.snap, st, job.reset.entries)
+	return w.log.Reset(job.reset.snapshot, st, job.reset.entries)
 }
 
 // resetLogAndWait resets the log and waits for the result. It finishes the jobs queued before.
