--- a/internal/node/call.go
+++ b/internal/node/call.go
@@ -64,13 +64,13 @@
 	// the log.
 	failedAttempts strings.Builder
 	failureDetail  string
-	// freeRetries counts the retries that were not charged to the retry budget.
-	freeRetries int
+	// unchargedRetries counts the retries that were not charged to the retry budget.
+	unchargedRetries int
 	// brokenAttempts counts the attempts in which the backend server was lost during
 	// execution.
 	brokenAttempts int
-	// mayHaveRun is set if any attempt may have been executed by a backend server.
-	mayHaveRun bool
+	// mayHaveExecuted is set if any attempt may have been executed by a backend server.
+	mayHaveExecuted bool
 	// callerLeft is set when the caller closed its connection. A call that is canceled because
 	// its parent ended still gets a response.
 	callerLeft atomic.Bool
--- a/internal/node/edge.go
+++ b/internal/node/edge.go
@@ -56,7 +56,7 @@
 type ResponseClass struct {
 	// OtherRequest is set if the response belongs to another request.
 	OtherRequest bool
-	// NotRun is None, or the reason if the backend server certainly did not execute the
+	// NotExecuted is None, or the reason if the backend server certainly did not execute the
 	// request.
 	NotExecuted fault.Code
 }
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -305,15 +305,15 @@
 
 // copyBuffers pools the buffers for copying responses to callers.
 var copyBuffers = sync.Pool{New: func() any {
-	b := make([]byte, copyBufferBytes)
+	b := make([]byte, copyBufferSize)
 	return &b
 }}
 
-// copyBufferBytes holds most responses in one piece.
-const copyBufferBytes = 16 << 10
+// copyBufferSize holds most responses in one piece.
+const copyBufferSize = 16 << 10
 
-// copyBody copies a response body to its caller through a pooled buffer; io.Copy would allocate
-// one for each response.
+// copyBody copies a response body to its caller through a pooled buffer; io.Copy would
+// allocate one for each response.
 func copyBody(w io.Writer, body io.Reader) error {
 	buf := copyBuffers.Get().(*[]byte)
 	defer copyBuffers.Put(buf)
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -65,7 +65,7 @@
 		if mayHaveTerminatedBackend(ferr) {
 			c.brokenAttempts++
 		}
-		c.mayHaveRun = c.mayHaveRun || ferr == nil || ferr.Run != fault.RunNo
+		c.mayHaveExecuted = c.mayHaveExecuted || ferr == nil || ferr.Run != fault.RunNo
 		c.recordOffer(in, ferr)
 		if ferr == nil && !n.isRetryableResponse(c, resp) {
 			return n.unwrapRefusal(c, resp)
@@ -74,7 +74,7 @@
 			if ferr == nil {
 				return n.unwrapRefusal(c, resp)
 			}
-			if c.mayHaveRun {
+			if c.mayHaveExecuted {
 				// An earlier attempt may have been executed, even if the last one was not.
 				ferr.Run = fault.RunUnknown
 			}
@@ -191,7 +191,7 @@
 	}
 	switch retry.Decide(n.retryState(c), f) {
 	case retry.Free:
-		c.freeRetries++
+		c.unchargedRetries++
 		return true
 	case retry.Paid:
 		return n.spendRetry(c, retries)
@@ -217,7 +217,7 @@
 func (n *Node) retryState(c *call) retry.Call {
 	return retry.Call{
 		Replayable: c.replayable(), Idempotent: c.policy.Idempotent,
-		Attempts: c.attempts, Free: c.freeRetries, Offered: len(c.offeredTo), OfferMax: c.policy.AttemptsMax,
+		Attempts: c.attempts, Free: c.unchargedRetries, Offered: len(c.offeredTo), OfferMax: c.policy.AttemptsMax,
 		Ends: max(c.brokenAttempts, n.quarantine.terminationCount(c)),
 	}
 }
@@ -332,7 +332,7 @@
 	req := &wire.Request{
 		Attempt: n.attempts.Add(1), ID: c.id, Root: c.rootTarget, Target: c.target,
 		Remaining: c.scope.Remaining(), Rank: c.rank, Depth: c.depth, Lease: uint8(lease),
-		Repeat: c.fromRetry || c.attempts-c.freeRetries > 1, Content: uint64(c.fingerprints.Content), Caller: uint64(c.fingerprints.Caller),
+		Repeat: c.fromRetry || c.attempts-c.unchargedRetries > 1, Content: uint64(c.fingerprints.Content), Caller: uint64(c.fingerprints.Caller),
 		Method: c.method, Path: c.path, BodyLen: c.bodyLen, Header: c.header,
 	}
 	wireResp, err := n.peers.client(in.Addr, c.policy.Silence).Do(c.scope, req, c.body, c.stream)
@@ -348,7 +348,7 @@
 			n.noteFailure(in, ferr)
 		}
 		if ferr.Code == fault.PeerSilent || ferr.Code == fault.PeerLost && ferr.Run == fault.RunNo {
-			n.peers.setUnreachable(in.Addr, in.Seen)
+			n.peers.markUnreachable(in.Addr, in.Seen)
 		}
 		return nil, ferr
 	}
--- a/internal/node/gate.go
+++ b/internal/node/gate.go
@@ -10,20 +10,20 @@
 	"github.com/umberthread/umberthread/rank"
 )
 
-// admissionGate makes the admission guard of the local backend server safe for concurrent use.
-// Queued requests wait on their own goroutines.
+// admissionGate makes the admission limiter of the local backend server safe for concurrent
+// use. Queued requests wait on their own goroutines.
 type admissionGate struct {
 	clock func() time.Duration
 
-	mu    sync.Mutex
-	guard *admission.Guard
+	mu      sync.Mutex
+	limiter *admission.Guard
 	// expired is scratch space for waiters whose deadline has passed.
 	expired []*admission.Waiter
 }
 
 // newAdmissionGate returns a gate with one slot, until setOptions sets the real options.
 func newAdmissionGate(clock func() time.Duration) *admissionGate {
-	return &admissionGate{clock: clock, guard: admission.New(admission.Options{Slots: 1})}
+	return &admissionGate{clock: clock, limiter: admission.New(admission.Options{Slots: 1})}
 }
 
 // waiterPool holds waiters for reuse.
@@ -34,7 +34,7 @@
 // setOptions applies new options and admits the waiters that fit.
 func (g *admissionGate) setOptions(o admission.Options) {
 	g.mu.Lock()
-	g.guard.SetOptions(o)
+	g.limiter.SetOptions(o)
 	g.admitWaiting(g.clock())
 	g.mu.Unlock()
 }
@@ -45,7 +45,7 @@
 	w := waiterPool.Get().(*admission.Waiter)
 	w.Request = r
 	g.mu.Lock()
-	d := g.guard.Arrive(g.clock(), w)
+	d := g.limiter.Arrive(g.clock(), w)
 	if d.Evicted != nil {
 		d.Evicted.Wake <- fault.Overload
 	}
@@ -62,7 +62,7 @@
 	return g.awaitSlot(s, w, giveUp)
 }
 
-// awaitSlot waits until the guard admits or refuses w, the scope is canceled, or the queue
+// awaitSlot waits until the limiter admits or refuses w, the scope is canceled, or the queue
 // time ends.
 func (g *admissionGate) awaitSlot(s *scope.Scope, w *admission.Waiter, giveUp time.Duration) fault.Code {
 	canceled := make(chan fault.Code, 1)
@@ -83,11 +83,11 @@
 	}
 }
 
-// abandonWait removes a waiter from the queue. If the guard has admitted it meanwhile, the
+// abandonWait removes a waiter from the queue. If the limiter has admitted it meanwhile, the
 // slot is kept after a queue timeout and given back after a cancellation.
 func (g *admissionGate) abandonWait(w *admission.Waiter, code fault.Code) fault.Code {
 	g.mu.Lock()
-	left := g.guard.Expire(g.clock(), w)
+	left := g.limiter.Expire(g.clock(), w)
 	g.mu.Unlock()
 	if left {
 		waiterPool.Put(w)
@@ -105,18 +105,18 @@
 	return verdict
 }
 
-// release frees the slot of an admitted request, reports its outcome to the guard, and admits
-// the next waiter.
+// release frees the slot of an admitted request, reports its outcome to the limiter, and
+// admits the next waiter.
 func (g *admissionGate) release(o admission.Outcome) {
 	g.mu.Lock()
 	now := g.clock()
 	var next *admission.Waiter
-	next, g.expired = g.guard.Done(now, o, g.expired[:0])
+	next, g.expired = g.limiter.Done(now, o, g.expired[:0])
 	g.refuseExpired()
 	if next != nil {
 		next.Wake <- fault.None
 	}
-	if g.guard.Queued() > 0 {
+	if g.limiter.Queued() > 0 {
 		g.admitWaiting(now)
 	}
 	g.mu.Unlock()
@@ -133,7 +133,7 @@
 func (g *admissionGate) admitWaiting(now time.Duration) {
 	for {
 		var next *admission.Waiter
-		next, g.expired = g.guard.Next(now, g.expired[:0])
+		next, g.expired = g.limiter.Next(now, g.expired[:0])
 		g.refuseExpired()
 		if next == nil {
 			return
@@ -154,6 +154,6 @@
 func (g *admissionGate) load() gateLoad {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.guard.Tick(g.clock())
-	return gateLoad{g.guard.Level(), g.guard.InFlight(), g.guard.Limit(), g.guard.Queued()}
+	g.limiter.Tick(g.clock())
+	return gateLoad{g.limiter.Level(), g.limiter.InFlight(), g.limiter.Limit(), g.limiter.Queued()}
 }
--- a/internal/node/headers.go
+++ b/internal/node/headers.go
@@ -22,7 +22,7 @@
 	HeaderClass = "Umber-Class"
 	// HeaderRetryBudget is the number of retries that the request may still cause.
 	HeaderRetryBudget = "Umber-Retry-Budget"
-	// HeaderRun states on a refusal whether the request was executed: no or unknown.
+	// HeaderExecution states on a refusal whether the request was executed: no or unknown.
 	HeaderExecution = "Umber-Run"
 	// HeaderReplayed fingerprints a response from the stored outcome of an earlier execution.
 	HeaderReplayed = "Umber-Replayed"
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -114,7 +114,7 @@
 		// Content-Length is that of the body a GET would return.
 		resp.length = 0
 	}
-	resp.header = appendRunHeader(resp.header, httpResp.Header)
+	resp.header = appendExecutionHeader(resp.header, httpResp.Header)
 	if n.opt.Edge != nil && httpResp.StatusCode >= http.StatusInternalServerError && w.nestedCallFailed.Load() {
 		resp.header = append(resp.header, wireField{Name: HeaderExecution, Value: fault.RunUnknown.String()})
 	}
@@ -203,9 +203,9 @@
 // opaqueURL returns a URL that is sent exactly as the caller wrote it.
 func opaqueURL(target string) *url.URL { return &url.URL{Opaque: target} }
 
-// appendRunHeader passes on HeaderRun, so that other nodes don't attribute the failure of a
-// nested call to this instance.
-func appendRunHeader(fs []wireField, h http.Header) []wireField {
+// appendExecutionHeader passes on HeaderExecution, so that other nodes don't attribute the
+// failure of a nested call to this instance.
+func appendExecutionHeader(fs []wireField, h http.Header) []wireField {
 	if v := h.Get(HeaderExecution); v != "" {
 		fs = append(fs, wireField{Name: HeaderExecution, Value: v})
 	}
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -17,7 +17,7 @@
 
 // fleetModel simulates in virtual time how nodes learn of an overload: callers, entry nodes
 // that keep path levels, a chain of middle services without limits, and a deepest service with
-// real admission guards.
+// real admission limiters.
 type fleetModel struct {
 	rng         *rand.Rand
 	now         time.Duration
@@ -49,12 +49,12 @@
 	modelCallDeadline    = 700 * time.Millisecond
 )
 
-// Request kinds: modelRead reads the deepest service directly. modelCheck, a read, and
-// modelLodge, a protected write, call it at the end of the chain.
+// Request kinds: modelDirectRead reads the deepest service directly. modelChainRead, a read,
+// and modelChainWrite, a protected write, call it at the end of the chain.
 const (
-	modelRead = iota
-	modelCheck
-	modelLodge
+	modelDirectRead = iota
+	modelChainRead
+	modelChainWrite
 	modelKinds
 )
 
@@ -94,9 +94,9 @@
 	heap.Push(&m.events, modelEvent{m.now + d, m.seq, do})
 }
 
-// deepServer is a backend server of the deepest service with its admission guard.
+// deepServer is a backend server of the deepest service with its admission limiter.
 type deepServer struct {
-	guard     *admission.Guard
+	limiter   *admission.Guard
 	speed     float64
 	down      bool
 	callbacks map[*admission.Waiter]func(fault.Code)
@@ -119,7 +119,7 @@
 	for _, speed := range speeds {
 		m.deepServers = append(m.deepServers, &deepServer{
 			speed: speed, callbacks: map[*admission.Waiter]func(fault.Code){}, kinds: map[*admission.Waiter]int{},
-			guard: admission.New(admission.Options{
+			limiter: admission.New(admission.Options{
 				Slots: slots, QueueMax: 128, QueueWait: time.Second, QueueTarget: 3 * time.Millisecond, Window: 100 * time.Millisecond,
 			}),
 		})
@@ -160,7 +160,7 @@
 		r.path[i] = m.rng.IntN(modelNodesPerService)
 	}
 	r.calls = 1
-	if r.kind != modelRead {
+	if r.kind != modelDirectRead {
 		r.calls = modelCallsPerRequest
 	}
 	if !r.retried {
@@ -205,11 +205,11 @@
 		}
 	}
 	s := up[m.rng.IntN(len(up))]
-	if o := up[m.rng.IntN(len(up))]; o.guard.InFlight()+o.guard.Queued() < s.guard.InFlight()+s.guard.Queued() {
+	if o := up[m.rng.IntN(len(up))]; o.limiter.InFlight()+o.limiter.Queued() < s.limiter.InFlight()+s.limiter.Queued() {
 		s = o
 	}
 	depth, deadline := uint8(0), modelDeadline-(m.now-r.began)
-	if r.kind != modelRead {
+	if r.kind != modelDirectRead {
 		depth = uint8(3 + modelCallsPerRequest - r.calls)
 		deadline = min(deadline, modelCallDeadline)
 	}
@@ -217,7 +217,7 @@
 		w := &admission.Waiter{Request: admission.Request{Rank: r.rank, Depth: depth, Kind: uint8(r.kind), Deadline: m.now + deadline}}
 		s.callbacks[w] = func(code fault.Code) { m.handleResponse(r, s, code) }
 		s.kinds[w] = r.kind
-		d := s.guard.Arrive(m.now, w)
+		d := s.limiter.Arrive(m.now, w)
 		if d.Evicted != nil {
 			m.finishWork(s, d.Evicted, fault.Overload)
 		}
@@ -228,7 +228,7 @@
 			m.finishWork(s, w, d.Code)
 		case admission.Wait:
 			m.schedule(w.GiveUp()-m.now, func() {
-				if s.guard.Expire(m.now, w) {
+				if s.limiter.Expire(m.now, w) {
 					m.finishWork(s, w, fault.QueueTimeout)
 				}
 			})
@@ -239,12 +239,12 @@
 func (m *fleetModel) startWork(s *deepServer, w *admission.Waiter) {
 	kind := s.kinds[w]
 	slow := 1.0
-	if float64(s.guard.InFlight()) >= 0.95*float64(s.guard.Limit()) {
+	if float64(s.limiter.InFlight()) >= 0.95*float64(s.limiter.Limit()) {
 		slow = 1.3
 	}
 	took := time.Duration(float64(m.drawWorkTime(modelDeepWork[kind])) * slow / s.speed)
 	m.schedule(took, func() {
-		next, late := s.guard.Done(m.now, admission.Outcome{Kind: uint8(kind), Took: took}, nil)
+		next, late := s.limiter.Done(m.now, admission.Outcome{Kind: uint8(kind), Took: took}, nil)
 		for next != nil || len(late) > 0 {
 			for _, l := range late {
 				m.finishWork(s, l, fault.Deadline)
@@ -253,7 +253,7 @@
 				break
 			}
 			m.startWork(s, next)
-			next, late = s.guard.Next(m.now, nil)
+			next, late = s.limiter.Next(m.now, nil)
 		}
 		m.finishWork(s, w, fault.None)
 	})
@@ -270,16 +270,16 @@
 // entry.
 func (m *fleetModel) handleResponse(r *modelRequest, s *deepServer, code fault.Code) {
 	root := modelKindNames[r.kind]
-	s.guard.Tick(m.now)
-	l := s.guard.Level()
-	if r.kind != modelRead {
+	s.limiter.Tick(m.now)
+	l := s.limiter.Level()
+	if r.kind != modelDirectRead {
 		m.middle[modelMiddleServices-1][r.path[modelMiddleServices-1]].Observe(root, "deep", l, m.now)
 	}
 	if r.calls--; r.calls > 0 && code == fault.None {
 		m.callDeepService(r)
 		return
 	}
-	if r.kind != modelRead {
+	if r.kind != modelDirectRead {
 		l = m.middle[modelMiddleServices-1][r.path[modelMiddleServices-1]].Level(root, m.now)
 		for i := modelMiddleServices - 2; i >= 0; i-- {
 			p := &m.middle[i][r.path[i]]
@@ -308,9 +308,9 @@
 // return at once. The model counts the first six seconds.
 func runRestart(seed uint64) *fleetModel {
 	m := newFleetModel(seed, 43, 0.7)
-	m.addLoad(modelRead, 52)
-	m.addLoad(modelCheck, 294)
-	m.addLoad(modelLodge, 119)
+	m.addLoad(modelDirectRead, 52)
+	m.addLoad(modelChainRead, 294)
+	m.addLoad(modelChainWrite, 119)
 	for kind, n := range []int{50, 250, 100} {
 		for range n {
 			m.arrive(&modelRequest{kind: kind})
@@ -326,9 +326,9 @@
 // servers. The model counts from two seconds after the loss.
 func runServerLoss(seed uint64) *fleetModel {
 	m := newFleetModel(seed, 43, 0.7, 1.6, 0.7)
-	m.addLoad(modelRead, 52)
-	m.addLoad(modelCheck, 294)
-	m.addLoad(modelLodge, 119)
+	m.addLoad(modelDirectRead, 52)
+	m.addLoad(modelChainRead, 294)
+	m.addLoad(modelChainWrite, 119)
 	m.run(10 * time.Second)
 	m.deepServers[1].down, m.deepServers[2].down = true, true
 	m.countFrom = 12 * time.Second
@@ -371,8 +371,8 @@
 		c.add(runRestart(seed))
 	}
 	c.log(t)
-	g.Expect(c.shareOfSent(c.served, modelCheck)).To(gomega.BeNumerically(">", 0.13))
-	g.Expect(c.shareOfSent(c.served, modelLodge)).To(gomega.BeNumerically(">", 0.87))
+	g.Expect(c.shareOfSent(c.served, modelChainRead)).To(gomega.BeNumerically(">", 0.13))
+	g.Expect(c.shareOfSent(c.served, modelChainWrite)).To(gomega.BeNumerically(">", 0.87))
 }
 
 // Guards against protected requests failing when two of three servers of the deepest service
@@ -384,8 +384,8 @@
 		c.add(runServerLoss(seed))
 	}
 	c.log(t)
-	g.Expect(c.shareOfSent(c.served, modelLodge)).To(gomega.BeNumerically(">", 0.97))
-	g.Expect(c.shareOfSent(c.served, modelCheck)).To(gomega.BeNumerically(">", 0.5))
+	g.Expect(c.shareOfSent(c.served, modelChainWrite)).To(gomega.BeNumerically(">", 0.97))
+	g.Expect(c.shareOfSent(c.served, modelChainRead)).To(gomega.BeNumerically(">", 0.5))
 }
 
 // Guards against refusing more than necessary when demand is close to capacity.
@@ -394,9 +394,9 @@
 	var c totals
 	for seed := range uint64(6) {
 		m := newFleetModel(seed, 43, 0.7, 1.6, 0.7)
-		m.addLoad(modelRead, 90)
-		m.addLoad(modelCheck, 520)
-		m.addLoad(modelLodge, 210)
+		m.addLoad(modelDirectRead, 90)
+		m.addLoad(modelChainRead, 520)
+		m.addLoad(modelChainWrite, 210)
 		m.countFrom = 4 * time.Second
 		m.run(16 * time.Second)
 		m.countUntil = m.now
@@ -404,6 +404,6 @@
 		c.add(m)
 	}
 	c.log(t)
-	g.Expect(c.shareOfSent(c.served, modelLodge)).To(gomega.BeNumerically(">", 0.99))
-	g.Expect(c.shareOfSent(c.served, modelCheck)).To(gomega.BeNumerically(">", 0.97))
+	g.Expect(c.shareOfSent(c.served, modelChainWrite)).To(gomega.BeNumerically(">", 0.99))
+	g.Expect(c.shareOfSent(c.served, modelChainRead)).To(gomega.BeNumerically(">", 0.97))
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -24,9 +24,9 @@
 	unreachable sync.Map // address -> *route.Observed
 }
 
-// setUnreachable records that the node at an address cannot be reached. It gets no requests
+// markUnreachable records that the node at an address cannot be reached. It gets no requests
 // until it answers a ping.
-func (p *peerClients) setUnreachable(addr string, seen *route.Observed) {
+func (p *peerClients) markUnreachable(addr string, seen *route.Observed) {
 	seen.CutOff(true)
 	p.unreachable.Store(addr, seen)
 }
--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -160,17 +160,17 @@
 
 // responseCounts counts the responses that callers received.
 type responseCounts struct {
-	mu      sync.Mutex
-	count   int
-	ok      int
-	reasons map[string]int
-	last    Problem
+	mu          sync.Mutex
+	total       int
+	ok          int
+	reasons     map[string]int
+	lastProblem Problem
 }
 
 func (a *responseCounts) add(r httpResult) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.count++
+	a.total++
 	if r.err == nil && r.status == http.StatusOK {
 		a.ok++
 		return
@@ -178,8 +178,8 @@
 	if a.reasons == nil {
 		a.reasons = map[string]int{}
 	}
-	a.last = r.problem()
-	a.reasons[a.last.Reason]++
+	a.lastProblem = r.problem()
+	a.reasons[a.lastProblem.Reason]++
 }
 
 // sendLoad sends a request to a random node at each interval for a span, and waits for the
@@ -231,17 +231,17 @@
 			later++
 		}
 	}
-	t.Logf("%d backend servers crashed, %d executions after %v; unique %d of %d, identical %d of %d answered, refusals %v", len(runs), later, maxSpread, healthy.ok, healthy.count, identical.ok, identical.count, healthy.reasons)
+	t.Logf("%d backend servers crashed, %d executions after %v; unique %d of %d, identical %d of %d answered, refusals %v", len(runs), later, maxSpread, healthy.ok, healthy.total, identical.ok, identical.total, healthy.reasons)
 	g.Expect(later).To(gomega.BeNumerically("<=", maxLaterRuns), "executions after all nodes must know of the crashes")
 	g.Expect(len(runs)).To(gomega.BeNumerically("<=", maxCrashes), "crashed backend servers")
-	failed := healthy.count - healthy.ok + identical.count - identical.ok
-	g.Expect(float64(failed)).To(gomega.BeNumerically("<=", maxFailedShare*float64(healthy.count+identical.count)), "failed healthy requests")
+	failed := healthy.total - healthy.ok + identical.total - identical.ok
+	g.Expect(float64(failed)).To(gomega.BeNumerically("<=", maxFailedShare*float64(healthy.total+identical.total)), "failed healthy requests")
 	g.Expect(poison.ok).To(gomega.BeZero())
 	g.Expect(poison.reasons).To(gomega.HaveKey("quarantined"))
-	g.Expect(poison.last.Reason).To(gomega.Equal("quarantined"))
-	g.Expect(poison.last.Status).To(gomega.Equal(http.StatusServiceUnavailable))
-	g.Expect(poison.last.Execution).To(gomega.Equal(fault.RunNo.String()))
-	g.Expect(poison.last.RetryAfterMs).To(gomega.BeNumerically(">", 0))
+	g.Expect(poison.lastProblem.Reason).To(gomega.Equal("quarantined"))
+	g.Expect(poison.lastProblem.Status).To(gomega.Equal(http.StatusServiceUnavailable))
+	g.Expect(poison.lastProblem.Execution).To(gomega.Equal(fault.RunNo.String()))
+	g.Expect(poison.lastProblem.RetryAfterMs).To(gomega.BeNumerically(">", 0))
 }
 
 // Guards against a nested call crashing the backend servers of the called service one after
@@ -299,7 +299,7 @@
 	wg.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t.Logf("%d backend servers terminated; identical %d of %d, slow %d of %d answered, refusals %v %v", len(c.crashTimes), identical.ok, identical.count, slow.ok, slow.count, identical.reasons, slow.reasons)
+	t.Logf("%d backend servers terminated; identical %d of %d, slow %d of %d answered, refusals %v %v", len(c.crashTimes), identical.ok, identical.total, slow.ok, slow.total, identical.reasons, slow.reasons)
 	g.Expect(len(c.crashTimes)).To(gomega.BeNumerically(">", 40))
 	g.Expect(identical.reasons).NotTo(gomega.HaveKey("quarantined"))
 	g.Expect(slow.reasons).NotTo(gomega.HaveKey("quarantined"))
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -188,11 +188,12 @@
 
 // QuarantineStatus describes a quarantined fingerprint of a node.
 type QuarantineStatus struct {
-	// Mark is the fingerprint in hexadecimal, and Request describes one if this node knows it.
+	// Fingerprint is the fingerprint in hexadecimal, and Request describes one of its requests
+	// if this node knows any.
 	Fingerprint string `json:"mark"`
 	Request     string `json:"request,omitempty"`
-	// Ends is the number of backend servers that terminated, Round the number of quarantines
-	// so far, and LeftMs the time until the next trial, in milliseconds.
+	// Terminations is the number of backend servers that terminated, Round the number of
+	// quarantines so far, and LeftMs the time until the next trial, in milliseconds.
 	Terminations int   `json:"ends"`
 	Round        int   `json:"round"`
 	LeftMs       int64 `json:"left_ms"`
--- a/internal/node/refusal.go
+++ b/internal/node/refusal.go
@@ -17,7 +17,7 @@
 	Detail string `json:"detail,omitempty"`
 	// Reason is the name of the fault code.
 	Reason string `json:"reason"`
-	// Run states whether the request was executed: no or unknown.
+	// Execution states whether the request was executed: no or unknown.
 	Execution string `json:"run"`
 	// RetryAfterMs is the time after which to retry, in milliseconds, 0 if a retry would fail
 	// again.
--- a/internal/node/reqlog.go
+++ b/internal/node/reqlog.go
@@ -25,12 +25,12 @@
 
 // allow reports whether another line may be logged in this second, and counts it as skipped if
 // not.
-func (b *lineLimiter) allow(now time.Duration, most int64) bool {
+func (b *lineLimiter) allow(now time.Duration, limit int64) bool {
 	second := int64(now / time.Second)
 	if old := b.second.Load(); old != second && b.second.CompareAndSwap(old, second) {
 		b.used.Store(0)
 	}
-	if b.used.Add(1) <= most {
+	if b.used.Add(1) <= limit {
 		return true
 	}
 	b.skipped.Add(1)
@@ -114,7 +114,7 @@
 		return
 	}
 	load := n.gate.load()
-	n.info("serve", "Not run, or not to an end.", "id", c.id, "kind", c.target, "reason", e.Code.String(), "run", e.Run.String(),
+	n.info("serve", "Request of another node not completed.", "id", c.id, "kind", c.target, "reason", e.Code.String(), "run", e.Run.String(),
 		"in_flight", load.inflight, "queued", load.queued, "limit", load.limit, "admission_level", uint16(load.level), "rank", uint16(c.rank),
 		"remaining_ms", c.scope.Remaining().Milliseconds(), "detail", strings.TrimSpace(e.Detail))
 }
--- a/internal/node/stall.go
+++ b/internal/node/stall.go
@@ -6,8 +6,8 @@
 type diskStalls struct {
 	// ownDisk is set if this replica's disk stalls.
 	ownDisk bool
-	// quorum is set on a leader if too many disks stall to commit changes.
-	quorum bool
+	// lacksQuorum is set on a leader if too many disks stall to commit changes.
+	lacksQuorum bool
 }
 
 // checkDiskStalls detects and reports the begin and end of disk stalls. A leader without a
@@ -18,7 +18,7 @@
 		g.reportStall(own, "its disk has not responded for "+(stallTicks*raftTick).String(), "its disk responds again")
 	}
 	quorum := g.core.Role() == raft.Leader && !g.hasDiskQuorum(own)
-	if quorum != g.stall.quorum {
+	if quorum != g.stall.lacksQuorum {
 		g.reportStall(quorum, "no quorum of disks responds, changes are refused", "a quorum of disks responds again, changes are accepted")
 	}
 	g.stall = diskStalls{own, quorum}
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -41,18 +41,22 @@
 
 // Trace describes one completed request; umberctl requests shows it.
 type Trace struct {
-	Time         time.Time `json:"time"`
-	RequestID    string    `json:"request_id"`
-	Target       string    `json:"target"`
-	Root         string    `json:"root"`
-	Rank         uint16    `json:"rank"`
-	Depth        uint8     `json:"depth"`
-	Attempts     int       `json:"attempts"`
-	RetriesSpent int       `json:"retries_spent"`
-	PathLevel    uint16    `json:"path_level"`
-	Reason       string    `json:"reason"`
-	Execution    string    `json:"run"`
-	TookUs       int64     `json:"took_us"`
+	Time      time.Time `json:"time"`
+	RequestID string    `json:"request_id"`
+	// Target is the target of this call, and Root that of the request that entered.
+	Target   string `json:"target"`
+	Root     string `json:"root"`
+	Rank     uint16 `json:"rank"`
+	Depth    uint8  `json:"depth"`
+	Attempts int    `json:"attempts"`
+	// RetriesSpent is what the request has used of its retry budget.
+	RetriesSpent int `json:"retries_spent"`
+	// PathLevel is the admission level of the request's path at this node.
+	PathLevel uint16 `json:"path_level"`
+	Reason    string `json:"reason"`
+	// Execution states whether the request was executed: yes, no or unknown.
+	Execution string `json:"run"`
+	TookUs    int64  `json:"took_us"`
 }
 
 // Event is one notable event of a node; umberctl events shows it.
@@ -60,8 +64,9 @@
 	Time   time.Time `json:"time"`
 	Node   string    `json:"node"`
 	Domain string    `json:"failure_domain"`
-	Part   string    `json:"part"`
-	Text   string    `json:"text"`
+	// Part is the component of the node, as in its log.
+	Part string `json:"part"`
+	Text string `json:"text"`
 }
 
 // recentItems keeps the last size items; the oldest are overwritten. It is safe for concurrent
