--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -150,7 +150,7 @@
 	s := Status{
 		ID: n.id, Name: n.opt.Name, Domain: n.opt.Domain, UptimeMs: n.clock().Milliseconds(),
 		Config: n.conf.Load().version, Heard: n.gossip.highest.Load(), LateMs: n.news.last().Milliseconds(), Replicas: len(v.replicas), Lost: n.gossip.lost(), Backend: n.backendStatus(), State: nodeChart.Text(n.life.get()),
-		Members: len(v.members) + 1, InFlight: n.stats.inflight.Load(), Served: n.stats.servedRequests.Load(), Calls: n.stats.calls.Load(),
+		Members: len(v.members) + 1, InFlight: n.stats.inflight.Load(), Served: n.stats.servedRequests.Load(), Calls: n.stats.firstAttempts.Load(),
 		Retries: n.stats.retries.Load(), Refusals: n.stats.refusalsByReason(), Cut: n.stats.brokenResponses.Load(),
 		Silent: n.peers.silentConnections(), Domains: map[string]bool{}, Replica: n.replicas.status(), Dropped: n.dropped(),
 		Quarantined: n.quarantine.status(),
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -50,7 +50,7 @@
 		defer waits.Release()
 		defer c.parent.finishedCalls.Add(1)
 	}
-	n.stats.calls.Add(1)
+	n.stats.firstAttempts.Add(1)
 	retryShare, limits := n.retryShare(c.service), retryLimits(c.policy)
 	if c.fromRetry {
 		retryShare.Repeat(n.clock(), limits)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -81,7 +81,7 @@
 	backendStarts uint32
 
 	news       news
-	quarantine *quarantiner
+	quarantine *quarantineManager
 	stats      requestCounters
 	latencies  latency.Table
 	// requestLog bounds the lines about requests.
@@ -128,7 +128,7 @@
 		burn: burn.NewBook(), retired: map[string]retirement{}, stop: make(chan struct{}),
 		dial: control.DialTCP, mayDatagram: func(string) bool { return true },
 	}
-	n.quarantine = newQuarantiner(n)
+	n.quarantine = newQuarantineManager(n)
 	n.seeds.Store(&o.Bootstrap)
 	n.gate = newAdmissionGate(n.clock)
 	n.peers.dial = func(addr string, timeout time.Duration) (net.Conn, error) { return n.dial(addr, timeout) }
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -57,11 +57,11 @@
 	viewRebuildInterval = time.Minute
 )
 
-// quarantiner connects package quarantine to the node: it collects which requests were
+// quarantineManager connects package quarantine to the node: it collects which requests were
 // executing when backend servers terminated, here and on other nodes, and refuses requests
 // that terminate them. It is safe for concurrent use. Requests normally use only view and
 // responses, without taking the lock.
-type quarantiner struct {
+type quarantineManager struct {
 	n         *Node
 	view      atomic.Pointer[quarantine.View]
 	responses quarantine.Answers
@@ -92,9 +92,9 @@
 	viewBuiltAt time.Duration
 }
 
-// newQuarantiner returns a quarantiner without suspected requests.
-func newQuarantiner(n *Node) *quarantiner {
-	q := &quarantiner{n: n, table: quarantine.New(newRand()), fingerprintDescriptions: map[quarantine.Mark]string{}}
+// newQuarantineManager returns a quarantineManager without suspected requests.
+func newQuarantineManager(n *Node) *quarantineManager {
+	q := &quarantineManager{n: n, table: quarantine.New(newRand()), fingerprintDescriptions: map[quarantine.Mark]string{}}
 	q.view.Store(q.table.View(0))
 	return q
 }
@@ -124,7 +124,7 @@
 }
 
 // refusal returns the error for a call whose fingerprints are quarantined, else nil.
-func (q *quarantiner) refusal(c *call) *fault.Error {
+func (q *quarantineManager) refusal(c *call) *fault.Error {
 	v := q.view.Load()
 	if v.Empty() || !c.policy.Quarantine || c.policy.Mode != admission.ModeFull {
 		return nil
@@ -138,11 +138,11 @@
 
 // terminationCount returns how many backend servers terminated while executing similar
 // requests, 0 for fewer than two.
-func (q *quarantiner) terminationCount(c *call) int { return q.view.Load().Ends(c.fingerprints) }
+func (q *quarantineManager) terminationCount(c *call) int { return q.view.Load().Ends(c.fingerprints) }
 
 // recordResponse records that a backend server answered the call completely, which clears its
 // fingerprints.
-func (q *quarantiner) recordResponse(c *call) {
+func (q *quarantineManager) recordResponse(c *call) {
 	q.responses.Note(q.n.clock(), c.fingerprints)
 	if v := q.view.Load(); !v.Empty() && v.Knows(c.fingerprints) {
 		q.clearFingerprints(c.fingerprints)
@@ -151,7 +151,7 @@
 
 // clearFingerprints clears the suspected ones of the fingerprints and schedules their reports
 // to other nodes.
-func (q *quarantiner) clearFingerprints(fingerprints quarantine.Marks) {
+func (q *quarantineManager) clearFingerprints(fingerprints quarantine.Marks) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, fingerprint := range []quarantine.Mark{fingerprints.Content, fingerprints.Caller} {
@@ -164,21 +164,21 @@
 }
 
 // clearFingerprint removes the suspicion of a fingerprint. The lock is held.
-func (q *quarantiner) clearFingerprint(fingerprint quarantine.Mark) {
+func (q *quarantineManager) clearFingerprint(fingerprint quarantine.Mark) {
 	if q.table.Answered(fingerprint) {
 		q.n.event("quarantine", "Requests like "+q.fingerprintLabel(fingerprint)+" are no longer quarantined: one was answered.")
 	}
 }
 
 // rebuildView builds the view from the table and replaces the old one. The lock is held.
-func (q *quarantiner) rebuildView() {
+func (q *quarantineManager) rebuildView() {
 	now := q.n.clock()
 	q.viewBuiltAt = now
 	q.view.Store(q.table.View(now))
 }
 
 // rebuildStaleView rebuilds a view older than viewRebuildInterval, without expired entries.
-func (q *quarantiner) rebuildStaleView() {
+func (q *quarantineManager) rebuildStaleView() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if now := q.n.clock(); now-q.viewBuiltAt >= viewRebuildInterval {
@@ -200,7 +200,7 @@
 }
 
 // status returns the active quarantines ordered by fingerprint.
-func (q *quarantiner) status() []QuarantineStatus {
+func (q *quarantineManager) status() []QuarantineStatus {
 	held := q.activeQuarantines()
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/node/quarantine_ends.go
+++ b/internal/node/quarantine_ends.go
@@ -24,7 +24,7 @@
 
 // recordBroken records a request whose connection to an incarnation of the backend server
 // broke.
-func (q *quarantiner) recordBroken(incarnation uint32, c *call) {
+func (q *quarantineManager) recordBroken(incarnation uint32, c *call) {
 	w := newRunningRequest(incarnation, c)
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -44,25 +44,25 @@
 
 // scheduleTerminationReport reports a termination of the local backend server after a delay,
 // in which its requests can notice their broken connections.
-func (q *quarantiner) scheduleTerminationReport(be *localBackend) {
+func (q *quarantineManager) scheduleTerminationReport(be *localBackend) {
 	time.AfterFunc(terminationReportDelay+q.randomDelay(terminationReportSpreadPerMember), func() { q.reportTermination(be) })
 }
 
 // randomDelay draws a delay of up to each times the number of members.
-func (q *quarantiner) randomDelay(each time.Duration) time.Duration {
+func (q *quarantineManager) randomDelay(each time.Duration) time.Duration {
 	members := len(q.n.view.Load().members) + 1
 	return time.Duration(rand.Int64N(int64(members) * int64(each)))
 }
 
 // isMassTermination reports whether massTerminationCount terminations were reported within
 // massTerminationWindow. The lock is held.
-func (q *quarantiner) isMassTermination() bool {
+func (q *quarantineManager) isMassTermination() bool {
 	return len(q.domainTerminationTimes) == massTerminationCount && q.n.clock()-q.domainTerminationTimes[0] < massTerminationWindow
 }
 
 // reportTermination gossips a termination with the fingerprints of the requests that were
 // executing. It does nothing if there were none.
-func (q *quarantiner) reportTermination(be *localBackend) {
+func (q *quarantineManager) reportTermination(be *localBackend) {
 	q.mu.Lock()
 	if be.incarnation <= q.lastReportedIncarnation {
 		q.mu.Unlock()
@@ -88,7 +88,7 @@
 }
 
 // ownReports returns the termination and the clearances that this node gossips.
-func (q *quarantiner) ownReports() (*member.End, []member.Answer) {
+func (q *quarantineManager) ownReports() (*member.End, []member.Answer) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.ownClearances = trimClearances(q.ownClearances)
@@ -101,7 +101,7 @@
 // requestsInTermination returns the requests that an incarnation was executing when it
 // terminated: those with the most earlier terminations first, then the newest. The lock is
 // held.
-func (q *quarantiner) requestsInTermination(incarnation uint32) []runningRequest {
+func (q *quarantineManager) requestsInTermination(incarnation uint32) []runningRequest {
 	var out []runningRequest
 	since := q.n.clock() - brokenConnectionWindow
 	for _, w := range q.brokenRequests {
@@ -124,7 +124,7 @@
 
 // suspectFingerprints returns the fingerprints of requests that are not known to be harmless.
 // The lock is held.
-func (q *quarantiner) suspectFingerprints(requests []runningRequest) []uint64 {
+func (q *quarantineManager) suspectFingerprints(requests []runningRequest) []uint64 {
 	now := q.n.clock()
 	var out []uint64
 	seen := longRunningFingerprints(requests)
@@ -169,7 +169,7 @@
 
 // describeFingerprint keeps a request's target and path to describe a fingerprint. The lock is
 // held.
-func (q *quarantiner) describeFingerprint(fingerprint quarantine.Mark, w runningRequest) {
+func (q *quarantineManager) describeFingerprint(fingerprint quarantine.Mark, w runningRequest) {
 	if len(q.fingerprintDescriptions) >= maxDescribedFingerprints {
 		clear(q.fingerprintDescriptions)
 	}
@@ -178,7 +178,7 @@
 
 // fingerprintLabel returns a fingerprint in hexadecimal, with a request's description if this
 // node has one. The lock is held.
-func (q *quarantiner) fingerprintLabel(fingerprint quarantine.Mark) string {
+func (q *quarantineManager) fingerprintLabel(fingerprint quarantine.Mark) string {
 	text := strconv.FormatUint(uint64(fingerprint), 16)
 	if d := q.fingerprintDescriptions[fingerprint]; d != "" {
 		text += " (" + d + ")"
--- a/internal/node/quarantine_news.go
+++ b/internal/node/quarantine_news.go
@@ -12,7 +12,7 @@
 
 // applyMemberMeta applies the termination and clearance reports of a member of this failure
 // domain.
-func (q *quarantiner) applyMemberMeta(id string, m *member.Meta) {
+func (q *quarantineManager) applyMemberMeta(id string, m *member.Meta) {
 	if m.Ended != nil {
 		q.applyDomainTermination(id, m.Ended)
 	}
@@ -25,7 +25,7 @@
 
 // applyClearance applies another node's report that a suspected request was answered; false if
 // it is old or already known.
-func (q *quarantiner) applyClearance(a member.Answer) bool {
+func (q *quarantineManager) applyClearance(a member.Answer) bool {
 	if !isRecent(a.AtMs) {
 		return false
 	}
@@ -43,7 +43,7 @@
 
 // applyDomainTermination applies a termination report of this failure domain, the node's own
 // reports included, and forwards it to the other failure domains.
-func (q *quarantiner) applyDomainTermination(id string, e *member.End) {
+func (q *quarantineManager) applyDomainTermination(id string, e *member.End) {
 	if !q.countTermination(id, e) {
 		return
 	}
@@ -56,7 +56,7 @@
 }
 
 // applySummary applies the reports of another failure domain.
-func (q *quarantiner) applySummary(s *member.Summary) {
+func (q *quarantineManager) applySummary(s *member.Summary) {
 	if s.End != nil {
 		q.countTermination(s.End.ID, &s.End.End)
 	}
@@ -67,7 +67,7 @@
 
 // countTermination adds a termination to the table; false if it is old or already known.
 // Suspected fingerprints with a recent response are cleared.
-func (q *quarantiner) countTermination(id string, e *member.End) bool {
+func (q *quarantineManager) countTermination(id string, e *member.End) bool {
 	if !isRecent(e.AtMs) {
 		return false
 	}
@@ -94,7 +94,7 @@
 }
 
 // reportQuarantines logs the fingerprints that become quarantined. The lock is held.
-func (q *quarantiner) reportQuarantines(held []quarantine.Held) {
+func (q *quarantineManager) reportQuarantines(held []quarantine.Held) {
 	held = slices.DeleteFunc(held, func(h quarantine.Held) bool { return q.table.Ends(h.Mark) == 0 })
 	if len(held) == 0 {
 		return
@@ -112,7 +112,7 @@
 func isRecent(ms int64) bool { return time.Since(time.UnixMilli(ms)).Abs() < maxTerminationAge }
 
 // summaries returns the reports for the other failure domains.
-func (q *quarantiner) summaries() []member.Summary {
+func (q *quarantineManager) summaries() []member.Summary {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.domainClearances = trimClearances(q.domainClearances)
@@ -133,7 +133,7 @@
 }
 
 // activeQuarantines returns the fingerprints that this node refuses.
-func (q *quarantiner) activeQuarantines() []quarantine.Held {
+func (q *quarantineManager) activeQuarantines() []quarantine.Held {
 	if q.view.Load().Empty() {
 		return nil
 	}
@@ -143,7 +143,7 @@
 }
 
 // adoptQuarantines takes over the active quarantines of another node.
-func (q *quarantiner) adoptQuarantines(held []quarantine.Held) {
+func (q *quarantineManager) adoptQuarantines(held []quarantine.Held) {
 	if len(held) == 0 {
 		return
 	}
@@ -156,7 +156,7 @@
 // scheduleClearance reports a clearance to other nodes after a random delay, unless another
 // node has reported it by then, as many nodes may see responses to similar requests. The lock
 // is held.
-func (q *quarantiner) scheduleClearance(fingerprint quarantine.Mark) {
+func (q *quarantineManager) scheduleClearance(fingerprint quarantine.Mark) {
 	time.AfterFunc(q.randomDelay(clearanceSpreadPerMember), func() {
 		if !q.publishClearance(member.Answer{Mark: uint64(fingerprint), AtMs: time.Now().UnixMilli()}) {
 			return
@@ -168,7 +168,7 @@
 
 // publishClearance adds a clearance to those that this node gossips; false if one for the same
 // fingerprint was reported within minClearanceInterval.
-func (q *quarantiner) publishClearance(a member.Answer) bool {
+func (q *quarantineManager) publishClearance(a member.Answer) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if lastReported := q.lastClearanceAt(a.Mark); a.AtMs-lastReported < minClearanceInterval.Milliseconds() || !q.recordClearance(a) {
@@ -180,7 +180,7 @@
 
 // lastClearanceAt returns the Unix time in milliseconds of the last reported clearance of a
 // fingerprint, 0 if there is no recent one. The lock is held.
-func (q *quarantiner) lastClearanceAt(mark uint64) int64 {
+func (q *quarantineManager) lastClearanceAt(mark uint64) int64 {
 	var at int64
 	for _, a := range q.domainClearances {
 		if a.Mark == mark {
@@ -192,7 +192,7 @@
 
 // recordClearance records a clearance for the other failure domains; false if it is not newer
 // than the last one. The lock is held.
-func (q *quarantiner) recordClearance(a member.Answer) bool {
+func (q *quarantineManager) recordClearance(a member.Answer) bool {
 	if a.AtMs <= q.lastClearanceAt(a.Mark) {
 		return false
 	}
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -11,9 +11,9 @@
 // requestCounters holds the node's counters for status and expvar.
 type requestCounters struct {
 	inflight atomic.Int64
-	// calls counts first attempts, retries the others.
-	calls   atomic.Int64
-	retries atomic.Int64
+	// firstAttempts counts the first attempts of calls, and retries the others.
+	firstAttempts atomic.Int64
+	retries       atomic.Int64
 	// brokenResponses counts the responses that could not be sent completely.
 	brokenResponses atomic.Int64
 	// servedRequests counts the requests of callers and of the local backend server that were
