--- a/internal/node/edge.go
+++ b/internal/node/edge.go
@@ -69,8 +69,8 @@
 // select the request kind.
 func (n *Node) parseRoutedRequest(r *http.Request) (*call, *fault.Error) {
 	c := &call{method: r.Method, path: r.RequestURI, started: time.Now()}
-	arrival, ferr := n.opt.Edge.ParseRequest(r)
-	c.id, c.caller = arrival.ID, arrival.Caller
+	callerReq, ferr := n.opt.Edge.ParseRequest(r)
+	c.id, c.caller = callerReq.ID, callerReq.Caller
 	if ferr != nil {
 		return c, ferr
 	}
@@ -78,19 +78,19 @@
 	if !conf.tree.HasRoutes() {
 		return c, c.refusal(fault.Starting, "this node has no settings yet", 0)
 	}
-	found := conf.tree.Route(r.Host, r.URL.EscapedPath())
-	if found == nil {
+	route := conf.tree.Route(r.Host, r.URL.EscapedPath())
+	if route == nil {
 		return c, fault.New(fault.UnknownKind, "no route matches this host and path")
 	}
-	target := found.Draw()
+	target := route.Draw()
 	c.target, c.rootTarget, c.policy = target.Scope, target.Scope, target.Policy
 	c.service = serviceOfTarget(c.target)
 	allowed := c.policy.Deadline
-	if arrival.Remaining > 0 {
-		allowed = min(allowed, arrival.Remaining)
+	if callerReq.Remaining > 0 {
+		allowed = min(allowed, callerReq.Remaining)
 	}
 	c.header = append(endToEndFields(r.Header), wireField{Name: originalHostField, Value: r.Host})
-	if w := n.executionOf(arrival.Parent); w != nil {
+	if w := n.executionOf(callerReq.Parent); w != nil {
 		c.attachTo(w, allowed)
 		return c, nil
 	}
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -60,7 +60,7 @@
 
 var modelKindNames = [modelKinds]string{"read", "check", "lodge"}
 
-var modelClass = [modelKinds]rank.Class{rank.Normal, rank.Normal, rank.Protected}
+var modelKindClasses = [modelKinds]rank.Class{rank.Normal, rank.Normal, rank.Protected}
 
 // modelDeepWork is the mean work of each call at the deepest service.
 var modelDeepWork = [modelKinds]time.Duration{360 * time.Millisecond, 22 * time.Millisecond, 22 * time.Millisecond}
@@ -105,13 +105,13 @@
 
 // modelRequest is a request of a caller.
 type modelRequest struct {
-	kind    int
-	rank    rank.Rank
-	entry   int
-	path    [modelMiddleServices]int
-	calls   int
-	began   time.Duration
-	retried bool
+	kind      int
+	rank      rank.Rank
+	entry     int
+	path      [modelMiddleServices]int
+	calls     int
+	startedAt time.Duration
+	retried   bool
 }
 
 func newFleetModel(seed uint64, slots int, speeds ...float64) *fleetModel {
@@ -131,8 +131,8 @@
 func (m *fleetModel) addLoad(kind int, perSecond float64) {
 	var next func()
 	next = func() {
-		clump := 1 + int(m.rng.ExpFloat64()*modelMeanBurst)
-		for range clump {
+		burst := 1 + int(m.rng.ExpFloat64()*modelMeanBurst)
+		for range burst {
 			m.arrive(&modelRequest{kind: kind})
 		}
 		m.schedule(time.Duration(m.rng.ExpFloat64()*(modelMeanBurst+0.5)/perSecond*float64(time.Second)), next)
@@ -141,7 +141,7 @@
 }
 
 func (m *fleetModel) isCounted(r *modelRequest) bool {
-	return r.began >= m.countFrom && (m.countUntil == 0 || r.began < m.countUntil)
+	return r.startedAt >= m.countFrom && (m.countUntil == 0 || r.startedAt < m.countUntil)
 }
 
 func (m *fleetModel) run(until time.Duration) {
@@ -154,7 +154,7 @@
 }
 
 func (m *fleetModel) arrive(r *modelRequest) {
-	r.rank = rank.Make(modelClass[r.kind], uint8(m.rng.IntN(rank.Cohorts)))
+	r.rank = rank.Make(modelKindClasses[r.kind], uint8(m.rng.IntN(rank.Cohorts)))
 	r.entry = m.rng.IntN(modelEntries)
 	for i := range r.path {
 		r.path[i] = m.rng.IntN(modelNodesPerService)
@@ -164,7 +164,7 @@
 		r.calls = modelCallsPerRequest
 	}
 	if !r.retried {
-		r.began = m.now
+		r.startedAt = m.now
 		if m.isCounted(r) {
 			m.sent[r.kind]++
 		}
@@ -187,7 +187,7 @@
 	}
 	r.retried = true
 	wait = time.Duration(float64(wait) * (0.5 + m.rng.Float64()))
-	left := modelDeadline - (m.now - r.began)
+	left := modelDeadline - (m.now - r.startedAt)
 	m.schedule(min(wait, left/3), func() { m.arrive(r) })
 }
 
@@ -208,7 +208,7 @@
 	if o := up[m.rng.IntN(len(up))]; o.limiter.InFlight()+o.limiter.Queued() < s.limiter.InFlight()+s.limiter.Queued() {
 		s = o
 	}
-	depth, deadline := uint8(0), modelDeadline-(m.now-r.began)
+	depth, deadline := uint8(0), modelDeadline-(m.now-r.startedAt)
 	if r.kind != modelDirectRead {
 		depth = uint8(3 + modelCallsPerRequest - r.calls)
 		deadline = min(deadline, modelCallDeadline)
@@ -288,7 +288,7 @@
 		}
 	}
 	m.entries[r.entry].Observe(root, "first", l, m.now)
-	if code != fault.None && modelClass[r.kind] != rank.Protected && !r.retried {
+	if code != fault.None && modelKindClasses[r.kind] != rank.Protected && !r.retried {
 		// The caller of a request that may be repeated retries at once.
 		r.retried = true
 		m.arrive(r)
--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -225,14 +225,14 @@
 	poison := c.sendLoad(150*time.Millisecond, span, "kigali/sheets/open"+poisonPath, noBody)
 	wg.Wait()
 
-	runs, later := c.poisonRunTimes(), 0
+	runs, laterRuns := c.poisonRunTimes(), 0
 	for _, at := range runs {
 		if len(runs) > 3 && at.Sub(runs[2]) > maxSpread {
-			later++
+			laterRuns++
 		}
 	}
-	t.Logf("%d backend servers crashed, %d executions after %v; unique %d of %d, identical %d of %d answered, refusals %v", len(runs), later, maxSpread, healthy.ok, healthy.total, identical.ok, identical.total, healthy.reasons)
-	g.Expect(later).To(gomega.BeNumerically("<=", maxLaterRuns), "executions after all nodes must know of the crashes")
+	t.Logf("%d backend servers crashed, %d executions after %v; unique %d of %d, identical %d of %d answered, refusals %v", len(runs), laterRuns, maxSpread, healthy.ok, healthy.total, identical.ok, identical.total, healthy.reasons)
+	g.Expect(laterRuns).To(gomega.BeNumerically("<=", maxLaterRuns), "executions after all nodes must know of the crashes")
 	g.Expect(len(runs)).To(gomega.BeNumerically("<=", maxCrashes), "crashed backend servers")
 	failed := healthy.total - healthy.ok + identical.total - identical.ok
 	g.Expect(float64(failed)).To(gomega.BeNumerically("<=", maxFailedShare*float64(healthy.total+identical.total)), "failed healthy requests")
@@ -316,13 +316,13 @@
 	for _, n := range c.nodes {
 		g.Eventually(func() string { return poison(n) }, 3*time.Second, 50*time.Millisecond).Should(gomega.Equal("quarantined"))
 	}
-	ended := len(c.poisonRunTimes())
+	crashed := len(c.poisonRunTimes())
 	late := startNode(t, "domain-1", []string{c.nodes[0].opt.Control, c.nodes[3].opt.Control}, nil)
 	useSettings(t, crashFleetSettings, late)
 	late.awaitInstances("kigali/sheets", 2)
 	g.Expect(poison(late)).To(gomega.Equal("quarantined"))
 	g.Expect(late.call("kigali/sheets/open/other", "", nil, nil).problem().Reason).NotTo(gomega.Equal("quarantined"))
-	g.Expect(c.poisonRunTimes()).To(gomega.HaveLen(ended))
+	g.Expect(c.poisonRunTimes()).To(gomega.HaveLen(crashed))
 	held := late.Status().Quarantined
 	g.Expect(held).To(gomega.HaveLen(1))
 	g.Expect(held[0].Terminations).To(gomega.BeNumerically(">=", 3))
@@ -332,20 +332,20 @@
 // length.
 func TestContentFingerprintCoversTargetMethodPathAndBody(t *testing.T) {
 	g := gomega.NewWithT(t)
-	marks := func(change func(*call)) uint64 {
+	contentFingerprint := func(change func(*call)) uint64 {
 		c := &call{target: "f/s/k", method: "POST", path: "/a", body: []byte("x"), bodyLen: 1}
 		change(c)
 		c.computeFingerprints()
 		return uint64(c.fingerprints.Content)
 	}
-	same := marks(func(*call) {})
-	g.Expect(marks(func(c *call) { c.id, c.rank, c.depth = "another", 7, 2 })).To(gomega.Equal(same))
-	g.Expect(marks(func(c *call) { c.caller = "someone" })).To(gomega.Equal(same))
+	same := contentFingerprint(func(*call) {})
+	g.Expect(contentFingerprint(func(c *call) { c.id, c.rank, c.depth = "another", 7, 2 })).To(gomega.Equal(same))
+	g.Expect(contentFingerprint(func(c *call) { c.caller = "someone" })).To(gomega.Equal(same))
 	for _, change := range []func(*call){
 		func(c *call) { c.target = "f/s/j" }, func(c *call) { c.method = "PUT" }, func(c *call) { c.path = "/b" },
 		func(c *call) { c.body = []byte("y") }, func(c *call) { c.body, c.bodyPrefix = nil, []byte("z") }, func(c *call) { c.bodyLen = 2 },
 	} {
-		g.Expect(marks(change)).NotTo(gomega.Equal(same))
+		g.Expect(contentFingerprint(change)).NotTo(gomega.Equal(same))
 	}
 }
 
@@ -355,7 +355,7 @@
 	g := gomega.NewWithT(t)
 	n := startNode(t, "domain-0", nil, nil)
 	q := n.quarantine
-	endOf := func(start uint32) *member.End {
+	reportTermination := func(start uint32) *member.End {
 		for i := range 2 * maxTerminationRequests {
 			c := &call{target: "kigali/sheets/open", path: fmt.Sprint("/", start, "/", i), caller: "someone", started: time.Now(), scope: scope.New(time.Now().Add(time.Second))}
 			c.computeFingerprints()
@@ -365,7 +365,7 @@
 		end, _ := q.ownReports()
 		return end
 	}
-	g.Expect(endOf(1).Marks).To(gomega.HaveLen(member.MaxEndMarks))
+	g.Expect(reportTermination(1).Marks).To(gomega.HaveLen(member.MaxEndMarks))
 	g.Expect(len(n.meta().Encode())).To(gomega.BeNumerically("<", packetBytes*2/3))
 	for _, s := range q.summaries() {
 		g.Expect(len(s.Encode())).To(gomega.BeNumerically("<", packetBytes*2/3))
@@ -373,7 +373,7 @@
 	for i := range massTerminationCount {
 		q.applyDomainTermination(fmt.Sprint("other-", i), &member.End{Start: 1, AtMs: time.Now().UnixMilli(), Service: "kigali/sheets"})
 	}
-	g.Expect(endOf(2).Marks).To(gomega.BeEmpty())
+	g.Expect(reportTermination(2).Marks).To(gomega.BeEmpty())
 	q.ownTermination.AtMs -= maxTerminationAge.Milliseconds()
 	g.Expect(n.meta().Ended).To(gomega.BeNil())
 }
@@ -384,17 +384,17 @@
 	g := gomega.NewWithT(t)
 	n := startNode(t, "domain-0", nil, nil)
 	q := n.quarantine
-	const mark = 1 << 50
-	c := &call{fingerprints: quarantine.Marks{Content: mark}, policy: &settings.Policy{Quarantine: true}}
+	const fingerprint = 1 << 50
+	c := &call{fingerprints: quarantine.Marks{Content: fingerprint}, policy: &settings.Policy{Quarantine: true}}
 	suspect := func(round uint32) {
 		for i := range uint32(quarantine.Ends) {
-			q.applyDomainTermination("other", &member.End{Start: 10*round + i, AtMs: time.Now().UnixMilli(), Service: "f/s", Marks: []uint64{mark}})
+			q.applyDomainTermination("other", &member.End{Start: 10*round + i, AtMs: time.Now().UnixMilli(), Service: "f/s", Marks: []uint64{fingerprint}})
 		}
 	}
 	for round := range uint32(3) {
 		suspect(round)
 		g.Expect(q.refusal(c)).NotTo(gomega.BeNil())
-		q.applyMemberMeta("another", &member.Meta{Answered: []member.Answer{{Mark: mark, AtMs: time.Now().UnixMilli() + int64(round)}}})
+		q.applyMemberMeta("another", &member.Meta{Answered: []member.Answer{{Mark: fingerprint, AtMs: time.Now().UnixMilli() + int64(round)}}})
 		g.Expect(q.refusal(c)).To(gomega.BeNil(), "round %d", round)
 		q.responses.Note(-time.Hour, c.fingerprints)
 	}
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -74,7 +74,7 @@
 	ownClearances  []member.Answer
 	// brokenRequests are the last requests whose connections broke, a ring buffer with its
 	// next position in nextBroken.
-	brokenRequests []runningRequest
+	brokenRequests []inFlightRequest
 	nextBroken     int
 	// lastReportedIncarnation is the last incarnation whose termination was handled.
 	lastReportedIncarnation uint32
--- a/internal/node/quarantine_ends.go
+++ b/internal/node/quarantine_ends.go
@@ -11,9 +11,9 @@
 	"github.com/umberthread/umberthread/quarantine"
 )
 
-// runningRequest is a request that an incarnation of the backend server was executing.
+// inFlightRequest is a request that an incarnation of the backend server was executing.
 // brokenAt is when its connection broke, on the node's clock, 0 if it has not.
-type runningRequest struct {
+type inFlightRequest struct {
 	incarnation  uint32
 	fingerprints quarantine.Marks
 	startedAt    time.Time
@@ -25,7 +25,7 @@
 // recordBroken records a request whose connection to an incarnation of the backend server
 // broke.
 func (q *quarantineManager) recordBroken(incarnation uint32, c *call) {
-	w := newRunningRequest(incarnation, c)
+	w := newInFlightRequest(incarnation, c)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	w.brokenAt = q.n.clock()
@@ -37,9 +37,9 @@
 	q.nextBroken = (q.nextBroken + 1) % maxBrokenRequests
 }
 
-// newRunningRequest returns the running request of a call.
-func newRunningRequest(incarnation uint32, c *call) runningRequest {
-	return runningRequest{incarnation: incarnation, fingerprints: c.fingerprints, startedAt: c.started, target: c.target, path: c.path}
+// newInFlightRequest returns the in-flight request of a call.
+func newInFlightRequest(incarnation uint32, c *call) inFlightRequest {
+	return inFlightRequest{incarnation: incarnation, fingerprints: c.fingerprints, startedAt: c.started, target: c.target, path: c.path}
 }
 
 // scheduleTerminationReport reports a termination of the local backend server after a delay,
@@ -69,7 +69,7 @@
 		return
 	}
 	q.lastReportedIncarnation = be.incarnation
-	requests := q.requestsInTermination(be.incarnation)
+	requests := q.requestsInFlight(be.incarnation)
 	if len(requests) == 0 {
 		q.mu.Unlock()
 		return
@@ -98,11 +98,11 @@
 	return q.ownTermination, slices.Clone(q.ownClearances)
 }
 
-// requestsInTermination returns the requests that an incarnation was executing when it
+// requestsInFlight returns the requests that an incarnation was executing when it
 // terminated: those with the most earlier terminations first, then the newest. The lock is
 // held.
-func (q *quarantineManager) requestsInTermination(incarnation uint32) []runningRequest {
-	var out []runningRequest
+func (q *quarantineManager) requestsInFlight(incarnation uint32) []inFlightRequest {
+	var out []inFlightRequest
 	since := q.n.clock() - brokenConnectionWindow
 	for _, w := range q.brokenRequests {
 		if w.incarnation == incarnation && w.brokenAt >= since {
@@ -111,12 +111,12 @@
 	}
 	q.n.works.Range(func(_, v any) bool {
 		if w := v.(*execution); w.incarnation == incarnation {
-			out = append(out, newRunningRequest(incarnation, w.call))
+			out = append(out, newInFlightRequest(incarnation, w.call))
 		}
 		return true
 	})
 	v := q.view.Load()
-	slices.SortFunc(out, func(a, b runningRequest) int {
+	slices.SortFunc(out, func(a, b inFlightRequest) int {
 		return cmp.Or(cmp.Compare(v.Ends(b.fingerprints), v.Ends(a.fingerprints)), b.startedAt.Compare(a.startedAt))
 	})
 	return out
@@ -124,10 +124,10 @@
 
 // suspectFingerprints returns the fingerprints of requests that are not known to be harmless.
 // The lock is held.
-func (q *quarantineManager) suspectFingerprints(requests []runningRequest) []uint64 {
+func (q *quarantineManager) suspectFingerprints(requests []inFlightRequest) []uint64 {
 	now := q.n.clock()
 	var out []uint64
-	seen := longRunningFingerprints(requests)
+	seen := longInFlightFingerprints(requests)
 	seen[0] = true
 	for _, w := range requests[:min(len(requests), maxTerminationRequests)] {
 		for _, fingerprint := range []quarantine.Mark{w.fingerprints.Content, w.fingerprints.Caller} {
@@ -142,9 +142,9 @@
 	return out
 }
 
-// longRunningFingerprints returns the fingerprints of similar requests that were started over
+// longInFlightFingerprints returns the fingerprints of similar requests that were started over
 // a longer span and all still running: a request that terminates its server does so earlier.
-func longRunningFingerprints(requests []runningRequest) map[quarantine.Mark]bool {
+func longInFlightFingerprints(requests []inFlightRequest) map[quarantine.Mark]bool {
 	oldest, newest := map[quarantine.Mark]time.Time{}, map[quarantine.Mark]time.Time{}
 	count := map[quarantine.Mark]int{}
 	for _, w := range requests {
@@ -169,7 +169,7 @@
 
 // describeFingerprint keeps a request's target and path to describe a fingerprint. The lock is
 // held.
-func (q *quarantineManager) describeFingerprint(fingerprint quarantine.Mark, w runningRequest) {
+func (q *quarantineManager) describeFingerprint(fingerprint quarantine.Mark, w inFlightRequest) {
 	if len(q.fingerprintDescriptions) >= maxDescribedFingerprints {
 		clear(q.fingerprintDescriptions)
 	}
--- a/internal/node/quarantine_news.go
+++ b/internal/node/quarantine_news.go
@@ -34,9 +34,9 @@
 	if !q.recordClearance(a) {
 		return false
 	}
-	mark := quarantine.Mark(a.Mark)
-	q.responses.Note(q.n.clock(), quarantine.Marks{Content: mark})
-	q.clearFingerprint(mark)
+	fingerprint := quarantine.Mark(a.Mark)
+	q.responses.Note(q.n.clock(), quarantine.Marks{Content: fingerprint})
+	q.clearFingerprint(fingerprint)
 	q.rebuildView()
 	return true
 }
@@ -180,10 +180,10 @@
 
 // lastClearanceAt returns the Unix time in milliseconds of the last reported clearance of a
 // fingerprint, 0 if there is no recent one. The lock is held.
-func (q *quarantineManager) lastClearanceAt(mark uint64) int64 {
+func (q *quarantineManager) lastClearanceAt(fingerprint uint64) int64 {
 	var at int64
 	for _, a := range q.domainClearances {
-		if a.Mark == mark {
+		if a.Mark == fingerprint {
 			at = max(at, a.AtMs)
 		}
 	}
--- a/internal/node/return_test.go
+++ b/internal/node/return_test.go
@@ -75,14 +75,14 @@
 	g := gomega.NewWithT(t)
 	first := startNode(t, "a", nil, nil)
 	n := startNode(t, "a", []string{first.opt.Control}, func(o *Options) { o.StopTimeout = Duration{time.Second} })
-	dialling := make(chan struct{}, 100)
+	dialing := make(chan struct{}, 100)
 	n.dial = func(string, time.Duration) (net.Conn, error) {
-		dialling <- struct{}{}
+		dialing <- struct{}{}
 		time.Sleep(4 * time.Second)
 		return nil, net.ErrClosed
 	}
 	n.control.pool.Close()
-	g.Eventually(dialling, 5*time.Second).Should(gomega.Receive())
+	g.Eventually(dialing, 5*time.Second).Should(gomega.Receive())
 	began := time.Now()
 	g.Expect(n.Stop()).To(gomega.BeTrue())
 	g.Expect(time.Since(began)).To(gomega.BeNumerically("<", 2*time.Second))
