--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -73,7 +73,7 @@
 	// offered tells whether a server was offered the call.
 	offered bool
 	// report is what the answer tells of the instance, and path of what is below it.
-	report route.Report
+	report route.Outcome
 	path   rank.Level
 	// spent is how much of its lease the attempt used.
 	spent int
@@ -181,7 +181,7 @@
 		})
 		if !w.ended {
 			c.cancel = func() {
-				in.Seen.End(p.now, route.Report{}, p.eject())
+				in.Seen.End(p.now, route.Outcome{}, p.eject())
 				w.cancel()
 			}
 		}
@@ -224,7 +224,7 @@
 		}
 		open = false
 		c.pool.Lose(lease)
-		in.Seen.End(p.now, route.Report{Waited: p.now - began}, p.eject())
+		in.Seen.End(p.now, route.Outcome{Waited: p.now - began}, p.eject())
 		p.after(way, func() {
 			if w != nil {
 				w.cancel()
@@ -233,7 +233,7 @@
 	}
 	silent := func() {
 		p.after(p.fleet.Policy.Silence, func() {
-			back(answer{code: fault.PeerSilent, run: fault.RunUnknown, report: route.Report{Failed: true}})
+			back(answer{code: fault.PeerSilent, run: fault.RunUnknown, report: route.Outcome{Failed: true}})
 		})
 	}
 	p.after(way, func() {
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -299,9 +299,9 @@
 
 // localReport is what an attempt at the backend server beside this node says
 // of it.
-func (n *Node) localReport(a *answer, e *fault.Error) route.Report {
+func (n *Node) localReport(a *answer, e *fault.Error) route.Outcome {
 	load := n.gate.load()
-	r := route.Report{HasLoad: true, Level: load.level, InFlight: uint16(load.inflight), Limit: uint16(load.limit)}
+	r := route.Outcome{HasLoad: true, Level: load.level, InFlight: uint16(load.inflight), Limit: uint16(load.limit)}
 	r.Failed = instanceFailed(a, e)
 	r.Rejected = e != nil && e.Code == fault.Rejected
 	return r
@@ -335,7 +335,7 @@
 	if err != nil {
 		c.pool.Lose(lease)
 		ferr := fault.From(err)
-		report := route.Report{Failed: instanceFailed(nil, ferr)}
+		report := route.Outcome{Failed: instanceFailed(nil, ferr)}
 		if ferr.Code == fault.Deadline {
 			report.Waited = n.clock() - now
 		}
@@ -358,7 +358,7 @@
 		ferr = &fault.Error{Code: r.Code, Run: r.Run, RetryAfter: r.RetryAfter, Detail: r.Detail}
 		a = nil
 	}
-	in.Seen.End(n.clock(), route.Report{
+	in.Seen.End(n.clock(), route.Outcome{
 		Failed: instanceFailed(a, ferr), Rejected: r.Code == fault.Rejected, Draining: r.Code == fault.Draining,
 		HasLoad: true, Level: r.Level, InFlight: r.InFlight, Limit: r.Limit, Took: n.clock() - now,
 	}, n.eject(c))
--- a/route/failing_test.go
+++ b/route/failing_test.go
@@ -16,7 +16,7 @@
 func attempts(in *Instance, n, nth int, now, took time.Duration) {
 	for i := range n {
 		in.Seen.Begin()
-		in.Seen.End(now, Report{Rejected: nth > 0 && i%nth == 0, Took: took}, EjectOptions{Failures: 5, Time: time.Second})
+		in.Seen.End(now, Outcome{Rejected: nth > 0 && i%nth == 0, Took: took}, EjectOptions{Failures: 5, Time: time.Second})
 	}
 }
 
@@ -97,7 +97,7 @@
 	type ending struct {
 		at time.Duration
 		in *Instance
-		r  Report
+		r  Outcome
 	}
 	var open []ending
 	met, sent := 0, 0
@@ -109,10 +109,10 @@
 		in, code := s.Pick(query(now), r)
 		g.Expect(code).To(gomega.Equal(fault.None))
 		in.Seen.Begin()
-		end := ending{now + usual, in, Report{Took: usual}}
+		end := ending{now + usual, in, Outcome{Took: usual}}
 		bad := slices.Index(own, in) < slow
 		if bad {
-			end = ending{now + deadline, in, Report{Waited: deadline}}
+			end = ending{now + deadline, in, Outcome{Waited: deadline}}
 		}
 		at, _ := slices.BinarySearchFunc(open, end, func(a, b ending) int { return cmp.Compare(a.at, b.at) })
 		open = slices.Insert(open, at, end)
@@ -140,7 +140,7 @@
 	}
 	for range 50 {
 		own[0].Seen.Begin()
-		own[0].Seen.End(0, Report{Waited: 100 * time.Millisecond}, EjectOptions{Failures: 5, Time: time.Second})
+		own[0].Seen.End(0, Outcome{Waited: 100 * time.Millisecond}, EjectOptions{Failures: 5, Time: time.Second})
 	}
 	g.Expect(share(snapshot(own), own[0], 0)).To(gomega.BeNumerically("~", 0.5, 0.1))
 }
--- a/route/instance.go
+++ b/route/instance.go
@@ -82,7 +82,7 @@
 func (o *Observed) InFlight() int { return int(o.inflight.Load()) }
 
 // Report is what an answer, or its absence, says of an instance.
-type Report struct {
+type Outcome struct {
 	// Failed is set if the instance, not the request, was at fault.
 	Failed bool
 	// Rejected is set if the backend server itself turned the request away.
@@ -108,7 +108,7 @@
 const latencyKeep = 0.97
 
 // End takes in the outcome of a request begun with Begin.
-func (o *Observed) End(now time.Duration, r Report, e EjectOptions) {
+func (o *Observed) End(now time.Duration, r Outcome, e EjectOptions) {
 	o.inflight.Add(-1)
 	o.probing.Store(false)
 	o.observeFailure(now, r)
@@ -155,7 +155,7 @@
 // observeFailure keeps the share of attempts that failed at the instance,
 // whatever its load. A server that turns away or fails some of its requests
 // cannot be told by failures in a row.
-func (o *Observed) observeFailure(now time.Duration, r Report) {
+func (o *Observed) observeFailure(now time.Duration, r Outcome) {
 	x := 0.0
 	if r.Failed || r.Rejected || o.late(r) {
 		x = 1
@@ -177,7 +177,7 @@
 // reason that an answer did not come: it was waited for longer than answers usually
 // take. A server that has become too slow for the deadlines of its callers has no
 // answers by which it could be told.
-func (o *Observed) late(r Report) bool {
+func (o *Observed) late(r Outcome) bool {
 	return r.Waited.Seconds() > math.Float64frombits(o.latency.Load())
 }
 
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -53,7 +53,7 @@
 		own, other := instances("a", 3), instances("b", 3)
 		for _, in := range own {
 			in.Seen.Begin()
-			in.Seen.End(0, Report{HasLoad: true, InFlight: uint16(busy), Limit: 10}, EjectOptions{Failures: 5})
+			in.Seen.End(0, Outcome{HasLoad: true, InFlight: uint16(busy), Limit: 10}, EjectOptions{Failures: 5})
 		}
 		s, r, spilled := snapshot(own, other), rng(), 0
 		for range 1000 {
@@ -95,7 +95,7 @@
 	e := EjectOptions{Failures: 3, Time: time.Second}
 	for range 3 {
 		bad.Seen.Begin()
-		bad.Seen.End(0, Report{Failed: true}, e)
+		bad.Seen.End(0, Outcome{Failed: true}, e)
 	}
 	picks := func(now time.Duration) int {
 		n := 0
@@ -110,7 +110,7 @@
 	g.Expect(picks(1100 * time.Millisecond)).To(gomega.BeNumerically(">", 0))
 	bad.Seen.Begin()
 	g.Expect(picks(1100 * time.Millisecond)).To(gomega.BeZero())
-	bad.Seen.End(1100*time.Millisecond, Report{HasLoad: true, Limit: 10, Took: time.Millisecond}, e)
+	bad.Seen.End(1100*time.Millisecond, Outcome{HasLoad: true, Limit: 10, Took: time.Millisecond}, e)
 	g.Expect(picks(1200 * time.Millisecond)).To(gomega.BeNumerically(">", 50))
 }
 
@@ -119,7 +119,7 @@
 	own := instances("a", 4)
 	for _, in := range own {
 		in.Seen.Begin()
-		in.Seen.End(0, Report{Failed: true}, EjectOptions{Failures: 1, Time: time.Hour})
+		in.Seen.End(0, Outcome{Failed: true}, EjectOptions{Failures: 1, Time: time.Hour})
 	}
 	_, code := snapshot(own).Pick(query(0), rng())
 	g.Expect(code).To(gomega.Equal(fault.None))
@@ -131,7 +131,7 @@
 	own[1].Since = 0
 	for _, in := range own {
 		in.Seen.Begin()
-		in.Seen.End(0, Report{HasLoad: true, InFlight: 1, Limit: 10, Took: time.Millisecond}, EjectOptions{Failures: 5})
+		in.Seen.End(0, Outcome{HasLoad: true, InFlight: 1, Limit: 10, Took: time.Millisecond}, EjectOptions{Failures: 5})
 	}
 	s, r := snapshot(own), rng()
 	share := func(now time.Duration) int {
@@ -159,7 +159,7 @@
 		for _, in := range append(append([]*Instance(nil), own...), other...) {
 			in.Seen.Announced(rapid.Bool().Draw(t, "draining"))
 			in.Seen.Begin()
-			in.Seen.End(0, Report{
+			in.Seen.End(0, Outcome{
 				Failed: rapid.Bool().Draw(t, "failed"), HasLoad: true, Limit: 10,
 				InFlight: uint16(rapid.IntRange(0, 12).Draw(t, "load")), Level: rank.Level(rapid.IntRange(0, rank.Count).Draw(t, "level")),
 			}, EjectOptions{Failures: 1, Time: time.Second})
