--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -170,18 +170,18 @@
 		n.attempted(c, nil, answer{code: code, run: fault.RunNo, level: rank.Count / 2})
 		return
 	}
-	in.Seen.Begin()
+	in.Observed.Begin()
 	if in.ID == n.id {
 		w := n.accept(c, c.pool, c.repeat, func(a answer) {
 			c.cancel = nil
 			n.pathOf(c).Observe(c.root.Name, c.kind.Service, a.path, p.now)
 			a.report.Took = 0
-			in.Seen.End(p.now, a.report, p.eject())
+			in.Observed.End(p.now, a.report, p.eject())
 			n.attempted(c, in, a)
 		})
 		if !w.ended {
 			c.cancel = func() {
-				in.Seen.End(p.now, route.Outcome{}, p.eject())
+				in.Observed.End(p.now, route.Outcome{}, p.eject())
 				w.cancel()
 			}
 		}
@@ -209,13 +209,13 @@
 		c.cancel = nil
 		if a.code == fault.PeerSilent {
 			c.pool.Lose(lease)
-			in.Seen.CutOff(true)
+			in.Observed.CutOff(true)
 		} else {
 			c.pool.Settle(lease, a.spent)
 			n.pathOf(c).Observe(c.root.Name, c.kind.Service, a.path, p.now)
 			a.report.Took = p.now - began
 		}
-		in.Seen.End(p.now, a.report, p.eject())
+		in.Observed.End(p.now, a.report, p.eject())
 		n.attempted(c, in, a)
 	}
 	c.cancel = func() {
@@ -224,7 +224,7 @@
 		}
 		open = false
 		c.pool.Lose(lease)
-		in.Seen.End(p.now, route.Outcome{Waited: p.now - began}, p.eject())
+		in.Observed.End(p.now, route.Outcome{Waited: p.now - began}, p.eject())
 		p.after(way, func() {
 			if w != nil {
 				w.cancel()
--- a/internal/fleetmodel/trouble.go
+++ b/internal/fleetmodel/trouble.go
@@ -114,7 +114,7 @@
 		for _, n := range p.nodes {
 			for _, in := range n.all(back.server.spec.Name) {
 				if in.ID == back.id {
-					in.Seen.CutOff(false)
+					in.Observed.CutOff(false)
 				}
 			}
 		}
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -248,12 +248,12 @@
 	if code != fault.None {
 		return nil, nil, c.refusal(code, "no instance of "+c.service+" takes this request", rank.Count/2)
 	}
-	in.Seen.Begin()
+	in.Observed.Begin()
 	if in.ID == n.id {
 		a, ferr := n.runLocal(c, c.pool)
 		report := n.localReport(a, ferr)
 		n.pathsOf(c).Observe(c.root, c.service, n.levelBelow(c, report.Level), n.clock())
-		in.Seen.End(n.clock(), report, n.eject(c))
+		in.Observed.End(n.clock(), report, n.eject(c))
 		return a, in, ferr
 	}
 	a, ferr := n.sendTo(c, in, now)
@@ -339,12 +339,12 @@
 		if ferr.Code == fault.Deadline {
 			report.Waited = n.clock() - now
 		}
-		in.Seen.End(n.clock(), report, n.eject(c))
+		in.Observed.End(n.clock(), report, n.eject(c))
 		if instanceFailed(nil, ferr) {
 			n.noteFailure(in, ferr)
 		}
 		if ferr.Code == fault.PeerSilent || ferr.Code == fault.PeerLost && ferr.Run == fault.RunNo {
-			n.peers.lose(in.Addr, in.Seen)
+			n.peers.lose(in.Addr, in.Observed)
 		}
 		return nil, ferr
 	}
@@ -358,7 +358,7 @@
 		ferr = &fault.Error{Code: r.Code, Run: r.Run, RetryAfter: r.RetryAfter, Detail: r.Detail}
 		a = nil
 	}
-	in.Seen.End(n.clock(), route.Outcome{
+	in.Observed.End(n.clock(), route.Outcome{
 		Failed: instanceFailed(a, ferr), Rejected: r.Code == fault.Rejected, Draining: r.Code == fault.Draining,
 		HasLoad: true, Level: r.Level, InFlight: r.InFlight, Limit: r.Limit, Took: n.clock() - now,
 	}, n.eject(c))
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -175,8 +175,8 @@
 		used[id] = true
 		addrs[addr] = true
 		k := t.known(id, start)
-		in := &route.Instance{ID: id, Addr: addr, Domain: domain, Slots: slots, Weight: weight, Since: k.since, Seen: k.observed}
-		in.Seen.Announced(false)
+		in := &route.Instance{ID: id, Addr: addr, Domain: domain, Slots: slots, Weight: weight, Since: k.since, Observed: k.observed}
+		in.Observed.Announced(false)
 		return in
 	}
 	if be := t.n.local.Load(); be != nil && be.state == member.Serving && !t.n.leaving() {
--- a/route/failing_test.go
+++ b/route/failing_test.go
@@ -15,8 +15,8 @@
 // which was turned away by the backend server.
 func attempts(in *Instance, n, nth int, now, took time.Duration) {
 	for i := range n {
-		in.Seen.Begin()
-		in.Seen.End(now, Outcome{Rejected: nth > 0 && i%nth == 0, Took: took}, EjectOptions{Failures: 5, Time: time.Second})
+		in.Observed.Begin()
+		in.Observed.End(now, Outcome{Rejected: nth > 0 && i%nth == 0, Took: took}, EjectOptions{Failures: 5, Time: time.Second})
 	}
 }
 
@@ -39,7 +39,7 @@
 	own, others := instances("a", 1), instances("b", 1)
 	s := snapshot(own, others)
 	attempts(own[0], 50, 2, 0, 0)
-	g.Expect(own[0].Seen.Ejected()).To(gomega.BeFalse())
+	g.Expect(own[0].Observed.Ejected()).To(gomega.BeFalse())
 	g.Expect(share(s, own[0], 0)).To(gomega.BeNumerically("<", 0.05))
 	g.Expect(share(s, own[0], 10*time.Second)).To(gomega.Equal(1.0))
 }
@@ -68,11 +68,11 @@
 	g := gomega.NewWithT(t)
 	own := instances("a", 2)
 	for _, in := range own {
-		in.Seen.CutOff(true)
+		in.Observed.CutOff(true)
 	}
 	_, code := snapshot(own).Pick(query(0), rng())
 	g.Expect(code).To(gomega.Equal(fault.NoBackend))
-	own[1].Seen.CutOff(false)
+	own[1].Observed.CutOff(false)
 	in, code := snapshot(own).Pick(query(0), rng())
 	g.Expect(code).To(gomega.Equal(fault.None))
 	g.Expect(in).To(gomega.Equal(own[1]))
@@ -103,12 +103,12 @@
 	met, sent := 0, 0
 	for now := time.Duration(0); now < learn+measure; now += time.Second / perSecond {
 		for len(open) > 0 && open[0].at <= now {
-			open[0].in.Seen.End(open[0].at, open[0].r, EjectOptions{Failures: 1000, Time: time.Second})
+			open[0].in.Observed.End(open[0].at, open[0].r, EjectOptions{Failures: 1000, Time: time.Second})
 			open = open[1:]
 		}
 		in, code := s.Pick(query(now), r)
 		g.Expect(code).To(gomega.Equal(fault.None))
-		in.Seen.Begin()
+		in.Observed.Begin()
 		end := ending{now + usual, in, Outcome{Took: usual}}
 		bad := slices.Index(own, in) < slow
 		if bad {
@@ -139,8 +139,8 @@
 		attempts(in, 100, 0, 0, 200*time.Millisecond)
 	}
 	for range 50 {
-		own[0].Seen.Begin()
-		own[0].Seen.End(0, Outcome{Waited: 100 * time.Millisecond}, EjectOptions{Failures: 5, Time: time.Second})
+		own[0].Observed.Begin()
+		own[0].Observed.End(0, Outcome{Waited: 100 * time.Millisecond}, EjectOptions{Failures: 5, Time: time.Second})
 	}
 	g.Expect(share(snapshot(own), own[0], 0)).To(gomega.BeNumerically("~", 0.5, 0.1))
 }
--- a/route/instance.go
+++ b/route/instance.go
@@ -26,14 +26,14 @@
 	Since time.Duration
 
 	// Seen is the observed part; it survives new snapshots.
-	Seen *Observed
+	Observed *Observed
 }
 
 // In tells whether the instance is one of others, which may be of an earlier
 // snapshot.
 func (i *Instance) In(others []*Instance) bool {
 	for _, o := range others {
-		if o.Seen == i.Seen {
+		if o.Observed == i.Observed {
 			return true
 		}
 	}
@@ -262,17 +262,17 @@
 // requests that this node has there and those that it reported, over its
 // limit, which grows while it is new.
 func (i *Instance) load(now, ramp time.Duration) float64 {
-	word := i.Seen.remoteLoad.Load()
+	word := i.Observed.remoteLoad.Load()
 	reported, limit := float64(word>>16), float64(word&0xffff)
 	if limit == 0 {
 		limit = float64(max(i.Slots, 1))
 	}
-	own := float64(i.Seen.inflight.Load())
-	return (max(own, reported)+own/limit)/(limit*i.Weight*i.rampFactor(now, ramp)) + i.Seen.penalty(now)
+	own := float64(i.Observed.inflight.Load())
+	return (max(own, reported)+own/limit)/(limit*i.Weight*i.rampFactor(now, ramp)) + i.Observed.penalty(now)
 }
 
 // latency is the mean time of the instance's answers, 0 while unknown.
-func (i *Instance) latency() float64 { return math.Float64frombits(i.Seen.latency.Load()) }
+func (i *Instance) latency() float64 { return math.Float64frombits(i.Observed.latency.Load()) }
 
 // rampStart is the share with which a new instance begins.
 const rampStart = 0.1
--- a/route/picker.go
+++ b/route/picker.go
@@ -77,7 +77,7 @@
 	}
 	for _, ins := range append([][]*Instance{svc.Own}, svc.Others...) {
 		for _, in := range ins {
-			if in.ID != except && in.Seen.usable(now) {
+			if in.ID != except && in.Observed.usable(now) {
 				return true
 			}
 		}
@@ -208,7 +208,7 @@
 	}
 	sum := 0.0
 	for _, in := range ins[:n] {
-		if in.Seen.draining.Load() || in.Seen.cutOff.Load() || in.Seen.Ejected() {
+		if in.Observed.draining.Load() || in.Observed.cutOff.Load() || in.Observed.Ejected() {
 			sum++
 			continue
 		}
@@ -320,7 +320,7 @@
 // share of its requests. Where two fifths of a service do, both draws are such in one of
 // six, and a chain of four calls meets one every second time.
 func (q *Query) notFailing(drawn *Instance, ins []*Instance, r Rand) *Instance {
-	if drawn.Seen.penalty(q.Now) == 0 || len(ins) <= 2 {
+	if drawn.Observed.penalty(q.Now) == 0 || len(ins) <= 2 {
 		return drawn
 	}
 	best := drawn
@@ -343,13 +343,13 @@
 }
 
 func (q *Query) admits(in *Instance, all []*Instance) fault.Code {
-	if q.Avoid != nil && in.Seen == q.Avoid.Seen {
+	if q.Avoid != nil && in.Observed == q.Avoid.Observed {
 		return fault.NoBackend
 	}
-	if !in.Seen.usable(q.Now) && !q.tooManyEjected(in, all) {
+	if !in.Observed.usable(q.Now) && !q.tooManyEjected(in, all) {
 		return fault.NoBackend
 	}
-	if !in.Seen.Level(q.Now).Admits(q.Rank, q.Depth) {
+	if !in.Observed.Level(q.Now).Admits(q.Rank, q.Depth) {
 		return fault.Overload
 	}
 	return fault.None
@@ -359,12 +359,12 @@
 // because more than EjectMax of the instances are ejected. If nearly all
 // fail, the fault is rarely theirs, and shutting them out loses what is left.
 func (q *Query) tooManyEjected(in *Instance, all []*Instance) bool {
-	if in.Seen.draining.Load() || in.Seen.cutOff.Load() {
+	if in.Observed.draining.Load() || in.Observed.cutOff.Load() {
 		return false
 	}
 	ejected := 0
 	for _, o := range all {
-		if o.Seen.Ejected() {
+		if o.Observed.Ejected() {
 			ejected++
 		}
 	}
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -18,7 +18,7 @@
 func instances(domain string, n int) []*Instance {
 	var out []*Instance
 	for i := range n {
-		out = append(out, &Instance{ID: fmt.Sprintf("%s%d", domain, i), Domain: domain, Slots: 10, Weight: 1, Since: longAgo, Seen: &Observed{}})
+		out = append(out, &Instance{ID: fmt.Sprintf("%s%d", domain, i), Domain: domain, Slots: 10, Weight: 1, Since: longAgo, Observed: &Observed{}})
 	}
 	return out
 }
@@ -52,8 +52,8 @@
 	for busy := 7; busy <= 10; busy++ {
 		own, other := instances("a", 3), instances("b", 3)
 		for _, in := range own {
-			in.Seen.Begin()
-			in.Seen.End(0, Outcome{HasLoad: true, InFlight: uint16(busy), Limit: 10}, EjectOptions{Failures: 5})
+			in.Observed.Begin()
+			in.Observed.End(0, Outcome{HasLoad: true, InFlight: uint16(busy), Limit: 10}, EjectOptions{Failures: 5})
 		}
 		s, r, spilled := snapshot(own, other), rng(), 0
 		for range 1000 {
@@ -75,7 +75,7 @@
 	for _, d := range []string{"b", "c", "d", "e"} {
 		ins := instances(d, 2)
 		for _, in := range ins {
-			in.Seen.Announced(d != "d")
+			in.Observed.Announced(d != "d")
 		}
 		others = append(others, ins)
 	}
@@ -94,8 +94,8 @@
 	bad := own[0]
 	e := EjectOptions{Failures: 3, Time: time.Second}
 	for range 3 {
-		bad.Seen.Begin()
-		bad.Seen.End(0, Outcome{Failed: true}, e)
+		bad.Observed.Begin()
+		bad.Observed.End(0, Outcome{Failed: true}, e)
 	}
 	picks := func(now time.Duration) int {
 		n := 0
@@ -108,9 +108,9 @@
 	}
 	g.Expect(picks(500 * time.Millisecond)).To(gomega.BeZero())
 	g.Expect(picks(1100 * time.Millisecond)).To(gomega.BeNumerically(">", 0))
-	bad.Seen.Begin()
+	bad.Observed.Begin()
 	g.Expect(picks(1100 * time.Millisecond)).To(gomega.BeZero())
-	bad.Seen.End(1100*time.Millisecond, Outcome{HasLoad: true, Limit: 10, Took: time.Millisecond}, e)
+	bad.Observed.End(1100*time.Millisecond, Outcome{HasLoad: true, Limit: 10, Took: time.Millisecond}, e)
 	g.Expect(picks(1200 * time.Millisecond)).To(gomega.BeNumerically(">", 50))
 }
 
@@ -118,8 +118,8 @@
 	g := gomega.NewWithT(t)
 	own := instances("a", 4)
 	for _, in := range own {
-		in.Seen.Begin()
-		in.Seen.End(0, Outcome{Failed: true}, EjectOptions{Failures: 1, Time: time.Hour})
+		in.Observed.Begin()
+		in.Observed.End(0, Outcome{Failed: true}, EjectOptions{Failures: 1, Time: time.Hour})
 	}
 	_, code := snapshot(own).Pick(query(0), rng())
 	g.Expect(code).To(gomega.Equal(fault.None))
@@ -130,8 +130,8 @@
 	own := instances("a", 2)
 	own[1].Since = 0
 	for _, in := range own {
-		in.Seen.Begin()
-		in.Seen.End(0, Outcome{HasLoad: true, InFlight: 1, Limit: 10, Took: time.Millisecond}, EjectOptions{Failures: 5})
+		in.Observed.Begin()
+		in.Observed.End(0, Outcome{HasLoad: true, InFlight: 1, Limit: 10, Took: time.Millisecond}, EjectOptions{Failures: 5})
 	}
 	s, r := snapshot(own), rng()
 	share := func(now time.Duration) int {
@@ -157,9 +157,9 @@
 		own := instances("a", rapid.IntRange(0, 4).Draw(t, "own"))
 		other := instances("b", rapid.IntRange(1, 4).Draw(t, "other"))
 		for _, in := range append(append([]*Instance(nil), own...), other...) {
-			in.Seen.Announced(rapid.Bool().Draw(t, "draining"))
-			in.Seen.Begin()
-			in.Seen.End(0, Outcome{
+			in.Observed.Announced(rapid.Bool().Draw(t, "draining"))
+			in.Observed.Begin()
+			in.Observed.End(0, Outcome{
 				Failed: rapid.Bool().Draw(t, "failed"), HasLoad: true, Limit: 10,
 				InFlight: uint16(rapid.IntRange(0, 12).Draw(t, "load")), Level: rank.Level(rapid.IntRange(0, rank.Count).Draw(t, "level")),
 			}, EjectOptions{Failures: 1, Time: time.Second})
@@ -170,7 +170,7 @@
 		if code != fault.None {
 			return
 		}
-		if in == q.Avoid || in.Seen.draining.Load() || !in.Seen.Level(q.Now).Admits(q.Rank, 0) {
+		if in == q.Avoid || in.Observed.draining.Load() || !in.Observed.Level(q.Now).Admits(q.Rank, 0) {
 			t.Fatalf("picked %s", in.ID)
 		}
 	})
@@ -203,7 +203,7 @@
 	own, other := instances("a", 1), instances("b", 1)
 	s := snapshot(own, other)
 	g.Expect(s.Has("s", own[0].ID, 0)).To(gomega.BeTrue())
-	other[0].Seen.CutOff(true)
+	other[0].Observed.CutOff(true)
 	g.Expect(s.Has("s", own[0].ID, 0)).To(gomega.BeFalse())
 	g.Expect(s.Has("t", "", 0)).To(gomega.BeFalse())
 }
