--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -47,7 +47,7 @@
 	start uint32
 	// since is when it was first seen, on this node's clock.
 	since    time.Duration
-	observed *route.Observed
+	observed *route.Observations
 }
 
 func newTables(n *Node) *tables {
@@ -235,7 +235,7 @@
 	if k == nil && since < settled {
 		since = longAgo
 	}
-	k = &known{start: start, since: since, observed: &route.Observed{}}
+	k = &known{start: start, since: since, observed: &route.Observations{}}
 	t.seen[id] = k
 	return k
 }
--- a/route/instance.go
+++ b/route/instance.go
@@ -26,7 +26,7 @@
 	Since time.Duration
 
 	// Seen is the observed part; it survives new snapshots.
-	Observed *Observed
+	Observed *Observations
 }
 
 // In tells whether the instance is one of others, which may be of an earlier
@@ -42,7 +42,7 @@
 
 // Observed is what callers have seen of an instance. The zero value is an
 // instance of which nothing is known.
-type Observed struct {
+type Observations struct {
 	inflight   atomic.Int32
 	remoteLoad atomic.Uint32 // in flight << 16 | limit, as last reported
 	level      atomic.Uint32
@@ -59,15 +59,15 @@
 }
 
 // JustEjected tells once that the instance was ejected.
-func (o *Observed) JustEjected() bool { return o.Ejected() && o.told.CompareAndSwap(false, true) }
+func (o *Observations) JustEjected() bool { return o.Ejected() && o.told.CompareAndSwap(false, true) }
 
 // CutOff takes in whether the node beside the instance can be reached at all.
 // One that cannot gets no requests, however many others fail.
-func (o *Observed) CutOff(cut bool) { o.cutOff.Store(cut) }
+func (o *Observations) CutOff(cut bool) { o.cutOff.Store(cut) }
 
 // Begin counts a request sent to the instance. The first one to an ejected
 // instance is its probe.
-func (o *Observed) Begin() {
+func (o *Observations) Begin() {
 	o.inflight.Add(1)
 	if o.Ejected() {
 		o.probing.Store(true)
@@ -76,10 +76,10 @@
 
 // Announced takes in what the instance says of itself, which overrides what a
 // refusal said earlier.
-func (o *Observed) Announced(draining bool) { o.draining.Store(draining) }
+func (o *Observations) Announced(draining bool) { o.draining.Store(draining) }
 
 // InFlight returns the requests that this node has at the instance.
-func (o *Observed) InFlight() int { return int(o.inflight.Load()) }
+func (o *Observations) InFlight() int { return int(o.inflight.Load()) }
 
 // Report is what an answer, or its absence, says of an instance.
 type Outcome struct {
@@ -108,7 +108,7 @@
 const latencyKeep = 0.97
 
 // End takes in the outcome of a request begun with Begin.
-func (o *Observed) End(now time.Duration, r Outcome, e EjectOptions) {
+func (o *Observations) End(now time.Duration, r Outcome, e EjectOptions) {
 	o.inflight.Add(-1)
 	o.probing.Store(false)
 	o.observeFailure(now, r)
@@ -155,7 +155,7 @@
 // observeFailure keeps the share of attempts that failed at the instance,
 // whatever its load. A server that turns away or fails some of its requests
 // cannot be told by failures in a row.
-func (o *Observed) observeFailure(now time.Duration, r Outcome) {
+func (o *Observations) observeFailure(now time.Duration, r Outcome) {
 	x := 0.0
 	if r.Failed || r.Rejected || o.late(r) {
 		x = 1
@@ -177,11 +177,11 @@
 // reason that an answer did not come: it was waited for longer than answers usually
 // take. A server that has become too slow for the deadlines of its callers has no
 // answers by which it could be told.
-func (o *Observed) late(r Outcome) bool {
+func (o *Observations) late(r Outcome) bool {
 	return r.Waited.Seconds() > math.Float64frombits(o.latency.Load())
 }
 
-func (o *Observed) failingShare(now time.Duration) float64 {
+func (o *Observations) failingShare(now time.Duration) float64 {
 	share := math.Float64frombits(o.failing.Load())
 	if share == 0 {
 		return 0
@@ -192,7 +192,7 @@
 
 // penalty is the load that the instance's failures stand for.
 // While it is ejected, probing decides alone.
-func (o *Observed) penalty(now time.Duration) float64 {
+func (o *Observations) penalty(now time.Duration) float64 {
 	if o.Ejected() {
 		return 0
 	}
@@ -211,7 +211,7 @@
 	Time time.Duration
 }
 
-func (o *Observed) fail(now time.Duration, e EjectOptions) {
+func (o *Observations) fail(now time.Duration, e EjectOptions) {
 	failures := int(o.failures.Add(1))
 	if failures == e.Failures {
 		o.told.Store(false)
@@ -222,11 +222,11 @@
 }
 
 // Ejected tells whether the instance is ejected, probing included.
-func (o *Observed) Ejected() bool { return o.ejectedTo.Load() != 0 && o.failures.Load() > 0 }
+func (o *Observations) Ejected() bool { return o.ejectedTo.Load() != 0 && o.failures.Load() > 0 }
 
 // usable tells whether a request may go to the instance: it is not ejected,
 // or its time is over and no other request probes it.
-func (o *Observed) usable(now time.Duration) bool {
+func (o *Observations) usable(now time.Duration) bool {
 	if o.draining.Load() || o.cutOff.Load() {
 		return false
 	}
@@ -241,7 +241,7 @@
 const levelLife = 500 * time.Millisecond
 
 // Level returns the admission level as far as it is still believed.
-func (o *Observed) Level(now time.Duration) rank.Level {
+func (o *Observations) Level(now time.Duration) rank.Level {
 	return Fade(rank.Level(o.level.Load()), now-time.Duration(o.levelAt.Load()))
 }
 
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -18,7 +18,7 @@
 func instances(domain string, n int) []*Instance {
 	var out []*Instance
 	for i := range n {
-		out = append(out, &Instance{ID: fmt.Sprintf("%s%d", domain, i), Domain: domain, Slots: 10, Weight: 1, Since: longAgo, Observed: &Observed{}})
+		out = append(out, &Instance{ID: fmt.Sprintf("%s%d", domain, i), Domain: domain, Slots: 10, Weight: 1, Since: longAgo, Observed: &Observations{}})
 	}
 	return out
 }
