--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -209,7 +209,7 @@
 		c.cancel = nil
 		if a.code == fault.PeerSilent {
 			c.pool.Lose(lease)
-			in.Observed.CutOff(true)
+			in.Observed.SetUnreachable(true)
 		} else {
 			c.pool.Settle(lease, a.spent)
 			n.pathOf(c).Observe(c.root.Name, c.kind.Service, a.path, p.now)
--- a/internal/fleetmodel/trouble.go
+++ b/internal/fleetmodel/trouble.go
@@ -114,7 +114,7 @@
 		for _, n := range p.nodes {
 			for _, in := range n.all(back.server.spec.Name) {
 				if in.ID == back.id {
-					in.Observed.CutOff(false)
+					in.Observed.SetUnreachable(false)
 				}
 			}
 		}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -26,7 +26,7 @@
 // lose notes that the node at an address cannot be reached. No request is
 // risked on it until it answers a ping.
 func (p *peers) lose(addr string, seen *route.Observations) {
-	seen.CutOff(true)
+	seen.SetUnreachable(true)
 	p.lost.Store(addr, seen)
 }
 
@@ -39,7 +39,7 @@
 			defer wg.Done()
 			if p.client(k.(string), timeout).Probe(timeout) {
 				p.lost.Delete(k)
-				v.(*route.Observations).CutOff(false)
+				v.(*route.Observations).SetUnreachable(false)
 			}
 		}()
 		return true
--- a/route/failing_test.go
+++ b/route/failing_test.go
@@ -68,11 +68,11 @@
 	g := gomega.NewWithT(t)
 	own := instances("a", 2)
 	for _, in := range own {
-		in.Observed.CutOff(true)
+		in.Observed.SetUnreachable(true)
 	}
 	_, code := snapshot(own).Pick(query(0), rng())
 	g.Expect(code).To(gomega.Equal(fault.NoBackend))
-	own[1].Observed.CutOff(false)
+	own[1].Observed.SetUnreachable(false)
 	in, code := snapshot(own).Pick(query(0), rng())
 	g.Expect(code).To(gomega.Equal(fault.None))
 	g.Expect(in).To(gomega.Equal(own[1]))
--- a/route/instance.go
+++ b/route/instance.go
@@ -63,7 +63,7 @@
 
 // CutOff takes in whether the node beside the instance can be reached at all.
 // One that cannot gets no requests, however many others fail.
-func (o *Observations) CutOff(cut bool) { o.cutOff.Store(cut) }
+func (o *Observations) SetUnreachable(cut bool) { o.cutOff.Store(cut) }
 
 // Begin counts a request sent to the instance. The first one to an ejected
 // instance is its probe.
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -203,7 +203,7 @@
 	own, other := instances("a", 1), instances("b", 1)
 	s := snapshot(own, other)
 	g.Expect(s.Has("s", own[0].ID, 0)).To(gomega.BeTrue())
-	other[0].Observed.CutOff(true)
+	other[0].Observed.SetUnreachable(true)
 	g.Expect(s.Has("s", own[0].ID, 0)).To(gomega.BeFalse())
 	g.Expect(s.Has("t", "", 0)).To(gomega.BeFalse())
 }
