--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -176,7 +176,7 @@
 		addrs[addr] = true
 		k := t.known(id, start)
 		in := &route.Instance{ID: id, Addr: addr, Domain: domain, Slots: slots, Weight: weight, Since: k.since, Observed: k.observed}
-		in.Observed.Announced(false)
+		in.Observed.SetDraining(false)
 		return in
 	}
 	if be := t.n.local.Load(); be != nil && be.state == member.Serving && !t.n.leaving() {
--- a/route/instance.go
+++ b/route/instance.go
@@ -76,7 +76,7 @@
 
 // Announced takes in what the instance says of itself, which overrides what a
 // refusal said earlier.
-func (o *Observations) Announced(draining bool) { o.draining.Store(draining) }
+func (o *Observations) SetDraining(draining bool) { o.draining.Store(draining) }
 
 // InFlight returns the requests that this node has at the instance.
 func (o *Observations) InFlight() int { return int(o.inflight.Load()) }
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -75,7 +75,7 @@
 	for _, d := range []string{"b", "c", "d", "e"} {
 		ins := instances(d, 2)
 		for _, in := range ins {
-			in.Observed.Announced(d != "d")
+			in.Observed.SetDraining(d != "d")
 		}
 		others = append(others, ins)
 	}
@@ -157,7 +157,7 @@
 		own := instances("a", rapid.IntRange(0, 4).Draw(t, "own"))
 		other := instances("b", rapid.IntRange(1, 4).Draw(t, "other"))
 		for _, in := range append(append([]*Instance(nil), own...), other...) {
-			in.Observed.Announced(rapid.Bool().Draw(t, "draining"))
+			in.Observed.SetDraining(rapid.Bool().Draw(t, "draining"))
 			in.Observed.Begin()
 			in.Observed.End(0, Outcome{
 				Failed: rapid.Bool().Draw(t, "failed"), HasLoad: true, Limit: 10,
