--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -484,7 +484,7 @@
 
 // noteFailure tells about an instance that this node could not reach.
 func (n *Node) noteFailure(in *route.Instance, e *fault.Error) {
-	if in.Observed.JustEjected() {
+	if in.Observed.ConsumeEjection() {
 		n.event("route", "Ejected "+in.ID+" at "+in.Addr+" after "+e.Code.String()+".")
 	}
 }
--- a/route/instance.go
+++ b/route/instance.go
@@ -59,7 +59,9 @@
 }
 
 // JustEjected tells once that the instance was ejected.
-func (o *Observations) JustEjected() bool { return o.Ejected() && o.told.CompareAndSwap(false, true) }
+func (o *Observations) ConsumeEjection() bool {
+	return o.Ejected() && o.told.CompareAndSwap(false, true)
+}
 
 // CutOff takes in whether the node beside the instance can be reached at all.
 // One that cannot gets no requests, however many others fail.
