--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -265,7 +265,7 @@
 		return
 	}
 	c.mayHaveRun = c.mayHaveRun || a.run != fault.RunNo
-	if in != nil && (a.offered || a.run != fault.RunNo) && !in.In(c.sentTo) {
+	if in != nil && (a.offered || a.run != fault.RunNo) && !in.IsAnyOf(c.sentTo) {
 		c.sentTo = append(c.sentTo, in)
 		c.state.Offered = len(c.sentTo)
 	}
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -220,7 +220,7 @@
 // noteOffer remembers the instances whose backend servers were offered the call.
 func (c *call) noteOffer(in *route.Instance, e *fault.Error) {
 	offered := e == nil || e.Run != fault.RunNo || e.Code == fault.Rejected
-	if in != nil && offered && !in.In(c.sentTo) {
+	if in != nil && offered && !in.IsAnyOf(c.sentTo) {
 		c.sentTo = append(c.sentTo, in)
 	}
 }
--- a/route/instance.go
+++ b/route/instance.go
@@ -31,7 +31,7 @@
 
 // In tells whether the instance is one of others, which may be of an earlier
 // snapshot.
-func (i *Instance) In(others []*Instance) bool {
+func (i *Instance) IsAnyOf(others []*Instance) bool {
 	for _, o := range others {
 		if o.Observed == i.Observed {
 			return true
--- a/route/picker.go
+++ b/route/picker.go
@@ -158,7 +158,7 @@
 // bestOf returns the best of best and the allowed ones of ins.
 func (q *Query) bestOf(ins []*Instance, best *Instance, code fault.Code) (*Instance, fault.Code) {
 	for _, in := range ins {
-		if !in.In(q.Among) {
+		if !in.IsAnyOf(q.Among) {
 			continue
 		}
 		if c := q.admits(in, ins); c != fault.None {
