--- a/internal/fleetmodel/play.go
+++ b/internal/fleetmodel/play.go
@@ -137,7 +137,7 @@
 		for d, ins := range byDomain {
 			switch {
 			case d == of.domain:
-				svc.Own = ins
+				svc.LocalInstances = ins
 			case len(ins) > 0:
 				svc.Others = append(svc.Others, ins)
 			}
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -131,7 +131,7 @@
 		if s == nil {
 			return 0
 		}
-		total := len(s.Own)
+		total := len(s.LocalInstances)
 		for _, d := range s.Others {
 			total += len(d)
 		}
--- a/internal/node/honest_test.go
+++ b/internal/node/honest_test.go
@@ -63,7 +63,7 @@
 		return &route.Instance{ID: id, Addr: addr, Slots: 4, Weight: 1, Since: -time.Hour, Observed: &route.Observations{}}
 	}
 	for range 40 {
-		n.routes.Store(&route.Snapshot{Services: map[string]*route.Service{"f/s": {Own: []*route.Instance{instance("1", breaks), instance("2", refuses)}}}})
+		n.routes.Store(&route.Snapshot{Services: map[string]*route.Service{"f/s": {LocalInstances: []*route.Instance{instance("1", breaks), instance("2", refuses)}}}})
 		before := broke.Load()
 		r := n.call("f/s/k", "", []byte("x"), nil)
 		want := "no"
--- a/internal/node/restart_test.go
+++ b/internal/node/restart_test.go
@@ -143,7 +143,7 @@
 	addr := hearingServer(t, heard)
 	g.Expect(n.Announce(said(addr, 1000, 1))).To(gomega.BeNil())
 	n.serves("f/s", 1)
-	seen := n.routes.Load().Services["f/s"].Own[0].Observed
+	seen := n.routes.Load().Services["f/s"].LocalInstances[0].Observed
 	done := make(chan result, 1)
 	go func() { done <- n.call("f/s/k", "lost", nil, nil) }()
 	g.Eventually(heard, 5*time.Second).Should(gomega.Receive())
@@ -156,6 +156,6 @@
 	g.Expect(n.gate.load().inflight).To(gomega.BeZero())
 	g.Eventually(func() bool {
 		svc := n.routes.Load().Services["f/s"]
-		return svc != nil && svc.Own[0].Observed != seen && svc.Own[0].Observed.InFlight() == 0
+		return svc != nil && svc.LocalInstances[0].Observed != seen && svc.LocalInstances[0].Observed.InFlight() == 0
 	}, 5*time.Second, time.Millisecond).Should(gomega.BeTrue(), "callers forget what they observed of the earlier start")
 }
--- a/internal/node/return_test.go
+++ b/internal/node/return_test.go
@@ -98,7 +98,7 @@
 	startStandin(t, n, "f/s", 4, map[string]standin.Kind{"k": {Time: time.Millisecond, Answer: 64}})
 	n.serves("f/s", 1)
 	c := &call{service: "f/s", depth: 1, lastFailure: fault.Overload, scope: scope.New(time.Now().Add(time.Minute))}
-	q := &route.Query{Service: "f/s", Now: n.clock(), Avoid: n.routes.Load().Services["f/s"].Own[0]}
+	q := &route.Query{Service: "f/s", Now: n.clock(), Avoid: n.routes.Load().Services["f/s"].LocalInstances[0]}
 	began := time.Now()
 	_, code := n.pick(c, q)
 	g.Expect(code).To(gomega.Equal(fault.NoBackend))
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -181,14 +181,14 @@
 	}
 	if be := t.n.local.Load(); be != nil && be.state == member.Serving && !t.n.leaving() {
 		svc := service(s, be.service)
-		svc.Own = append(svc.Own, add(t.n.id, t.n.opt.AdvertiseData, t.n.opt.Domain, be.slots, be.weight, be.start))
+		svc.LocalInstances = append(svc.LocalInstances, add(t.n.id, t.n.opt.AdvertiseData, t.n.opt.Domain, be.slots, be.weight, be.start))
 	}
 	for _, m := range t.metas {
 		if m.meta.State != member.Serving || !m.alive() {
 			continue
 		}
 		svc := service(s, m.meta.Service)
-		svc.Own = append(svc.Own, add(m.ID, m.meta.Data, t.n.opt.Domain, m.meta.Slots, m.meta.Weight, m.meta.Start))
+		svc.LocalInstances = append(svc.LocalInstances, add(m.ID, m.meta.Data, t.n.opt.Domain, m.meta.Slots, m.meta.Weight, m.meta.Start))
 	}
 	for _, sum := range t.summaries {
 		if sum.Service == member.ReplicaService || !t.reachable(sum.Domain) || len(sum.Instances) == 0 {
--- a/route/picker.go
+++ b/route/picker.go
@@ -29,7 +29,7 @@
 // Service is the set of instances of one service.
 type Service struct {
 	// Own are the instances in the node's own failure domain.
-	Own []*Instance
+	LocalInstances []*Instance
 	// Others are those of the other domains, each domain with one that can
 	// be reached.
 	Others [][]*Instance
@@ -75,7 +75,7 @@
 	if svc == nil {
 		return false
 	}
-	for _, ins := range append([][]*Instance{svc.Own}, svc.Others...) {
+	for _, ins := range append([][]*Instance{svc.LocalInstances}, svc.Others...) {
 		for _, in := range ins {
 			if in.ID != except && in.Observed.usable(now) {
 				return true
@@ -128,7 +128,7 @@
 	if len(q.Among) > 0 {
 		return svc.among(q)
 	}
-	first, second := svc.Own, svc.other(q, r)
+	first, second := svc.LocalInstances, svc.other(q, r)
 	if len(first) == 0 || len(second) > 0 && q.spills(first, second, r) {
 		first, second = second, first
 	}
@@ -145,7 +145,7 @@
 // among returns the best of the instances that the query allows and that still
 // serve.
 func (s *Service) among(q *Query) (*Instance, fault.Code) {
-	best, code := q.bestOf(s.Own, nil, fault.NoBackend)
+	best, code := q.bestOf(s.LocalInstances, nil, fault.NoBackend)
 	for _, ins := range s.Others {
 		best, code = q.bestOf(ins, best, code)
 	}
