--- a/internal/fleetmodel/play.go
+++ b/internal/fleetmodel/play.go
@@ -139,7 +139,7 @@
 			case d == of.domain:
 				svc.LocalInstances = ins
 			case len(ins) > 0:
-				svc.Others = append(svc.Others, ins)
+				svc.RemoteDomains = append(svc.RemoteDomains, ins)
 			}
 		}
 		s.Services[name] = svc
--- a/internal/fleetmodel/trouble.go
+++ b/internal/fleetmodel/trouble.go
@@ -124,5 +124,5 @@
 // all returns the instances of a service, as the node sees them.
 func (n *node) all(service string) []*route.Instance {
 	svc := n.routes.Services[service]
-	return slices.Concat(append([][]*route.Instance{svc.LocalInstances}, svc.Others...)...)
+	return slices.Concat(append([][]*route.Instance{svc.LocalInstances}, svc.RemoteDomains...)...)
 }
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -132,7 +132,7 @@
 			return 0
 		}
 		total := len(s.LocalInstances)
-		for _, d := range s.Others {
+		for _, d := range s.RemoteDomains {
 			total += len(d)
 		}
 		return total
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -199,7 +199,7 @@
 			ins = append(ins, add(r.ID, r.Addr, sum.Domain, r.Slots, r.Weight, r.Start))
 		}
 		svc := service(s, sum.Service)
-		svc.Others = append(svc.Others, ins)
+		svc.RemoteDomains = append(svc.RemoteDomains, ins)
 	}
 	t.prune(used)
 	t.n.peers.keep(addrs)
--- a/route/picker.go
+++ b/route/picker.go
@@ -32,7 +32,7 @@
 	LocalInstances []*Instance
 	// Others are those of the other domains, each domain with one that can
 	// be reached.
-	Others [][]*Instance
+	RemoteDomains [][]*Instance
 }
 
 // Snapshot is an immutable routing table. Services are keyed fleet/service.
@@ -75,7 +75,7 @@
 	if svc == nil {
 		return false
 	}
-	for _, ins := range append([][]*Instance{svc.LocalInstances}, svc.Others...) {
+	for _, ins := range append([][]*Instance{svc.LocalInstances}, svc.RemoteDomains...) {
 		for _, in := range ins {
 			if in.ID != except && in.Observed.usable(now) {
 				return true
@@ -133,7 +133,7 @@
 		first, second = second, first
 	}
 	in, code := q.choose(first, r)
-	if in != nil || len(svc.Others) == 0 {
+	if in != nil || len(svc.RemoteDomains) == 0 {
 		return in, code
 	}
 	if spare, c := q.choose(second, r); spare != nil {
@@ -146,7 +146,7 @@
 // serve.
 func (s *Service) among(q *Query) (*Instance, fault.Code) {
 	best, code := q.bestOf(s.LocalInstances, nil, fault.NoBackend)
-	for _, ins := range s.Others {
+	for _, ins := range s.RemoteDomains {
 		best, code = q.bestOf(ins, best, code)
 	}
 	if best != nil {
@@ -175,9 +175,9 @@
 // any looks at every other domain, from a random start, for an instance that
 // takes the request. code is the reason so far.
 func (s *Service) any(q *Query, r Rand, code fault.Code) (*Instance, fault.Code) {
-	from := r.IntN(len(s.Others))
-	for i := range s.Others {
-		in, c := q.choose(s.Others[(from+i)%len(s.Others)], r)
+	from := r.IntN(len(s.RemoteDomains))
+	for i := range s.RemoteDomains {
+		in, c := q.choose(s.RemoteDomains[(from+i)%len(s.RemoteDomains)], r)
 		if in != nil {
 			return in, c
 		}
@@ -188,12 +188,12 @@
 
 // other returns the less loaded of two random other domains.
 func (s *Service) other(q *Query, r Rand) []*Instance {
-	n := len(s.Others)
+	n := len(s.RemoteDomains)
 	if n == 0 {
 		return nil
 	}
-	a := s.Others[r.IntN(n)]
-	b := s.Others[r.IntN(n)]
+	a := s.RemoteDomains[r.IntN(n)]
+	b := s.RemoteDomains[r.IntN(n)]
 	if q.utilisation(b) < q.utilisation(a) {
 		return b
 	}
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -24,7 +24,7 @@
 }
 
 func snapshot(own []*Instance, others ...[]*Instance) *Snapshot {
-	return &Snapshot{Services: map[string]*Service{"s": {LocalInstances: own, Others: others}}}
+	return &Snapshot{Services: map[string]*Service{"s": {LocalInstances: own, RemoteDomains: others}}}
 }
 
 func query(now time.Duration) *Query {
