--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -135,7 +135,7 @@
 	t.n.view.Store(v)
 	t.n.gossip.see(v)
 	next := t.routes()
-	next.Follow(t.n.routes.Load(), t.n.clock())
+	next.InheritUnavailable(t.n.routes.Load(), t.n.clock())
 	t.n.routes.Store(next)
 }
 
--- a/route/picker.go
+++ b/route/picker.go
@@ -45,7 +45,7 @@
 
 // Follow takes over from the snapshot before which services have lost all their
 // instances. It is called once, before the snapshot is swapped in.
-func (s *Snapshot) Follow(before *Snapshot, now time.Duration) {
+func (s *Snapshot) InheritUnavailable(before *Snapshot, now time.Duration) {
 	s.Gone = map[string]time.Duration{}
 	for name, since := range before.Gone {
 		s.Gone[name] = since
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -188,13 +188,13 @@
 func TestSnapshotTellsWhichServicesMayReturn(t *testing.T) {
 	g := gomega.NewWithT(t)
 	with, without := snapshot(instances("a", 1)), &Snapshot{}
-	without.Follow(with, 5*time.Second)
+	without.InheritUnavailable(with, 5*time.Second)
 	g.Expect(without.MayReturn("s", 5500*time.Millisecond, time.Second)).To(gomega.BeTrue())
 	later := &Snapshot{}
-	later.Follow(without, 5900*time.Millisecond)
+	later.InheritUnavailable(without, 5900*time.Millisecond)
 	g.Expect(later.MayReturn("s", 6*time.Second, time.Second)).To(gomega.BeFalse(), "it was lost a second ago")
 	g.Expect(later.MayReturn("other", 6*time.Second, time.Second)).To(gomega.BeFalse(), "it was never there")
-	with.Follow(later, 7*time.Second)
+	with.InheritUnavailable(later, 7*time.Second)
 	g.Expect(with.Gone).To(gomega.BeEmpty())
 }
 
