--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -376,7 +376,7 @@
 	if be == nil || be.state != member.Serving {
 		return
 	}
-	for time.Now().Before(until) && !n.routes.Load().Has(be.service, n.id, n.clock()) {
+	for time.Now().Before(until) && !n.routes.Load().HasUsableInstance(be.service, n.id, n.clock()) {
 		time.Sleep(successorLook)
 	}
 }
--- a/route/picker.go
+++ b/route/picker.go
@@ -70,7 +70,7 @@
 
 // Has tells whether a service has an instance, other than the one with the id,
 // that takes requests.
-func (s *Snapshot) Has(service, except string, now time.Duration) bool {
+func (s *Snapshot) HasUsableInstance(service, except string, now time.Duration) bool {
 	svc := s.Services[service]
 	if svc == nil {
 		return false
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -202,10 +202,10 @@
 	g := gomega.NewWithT(t)
 	own, other := instances("a", 1), instances("b", 1)
 	s := snapshot(own, other)
-	g.Expect(s.Has("s", own[0].ID, 0)).To(gomega.BeTrue())
+	g.Expect(s.HasUsableInstance("s", own[0].ID, 0)).To(gomega.BeTrue())
 	other[0].Observed.SetUnreachable(true)
-	g.Expect(s.Has("s", own[0].ID, 0)).To(gomega.BeFalse())
-	g.Expect(s.Has("t", "", 0)).To(gomega.BeFalse())
+	g.Expect(s.HasUsableInstance("s", own[0].ID, 0)).To(gomega.BeFalse())
+	g.Expect(s.HasUsableInstance("t", "", 0)).To(gomega.BeFalse())
 }
 
 // TestOnlyAllowedInstancesAreChosen: a request that may go to no more backend
