--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -163,7 +163,7 @@
 		Options: route.Options{SpillAt: p.fleet.Policy.SpillAt, EjectMax: p.fleet.Policy.EjectMax, Ramp: p.fleet.Policy.Ramp},
 	}
 	if c.state.OfferMax > 0 && c.state.Offered >= c.state.OfferMax {
-		q.Among = c.sentTo
+		q.Allowed = c.sentTo
 	}
 	in, code := n.routes.Pick(&q, p.rng)
 	if in == nil {
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -238,7 +238,7 @@
 	c.attempts++
 	now := n.clock()
 	q := route.Query{
-		Service: c.service, Rank: c.rank, Depth: c.depth, Now: now, Avoid: c.avoid, AvoidIfOthers: c.lastFailure == fault.Rejected, Among: c.allowed(),
+		Service: c.service, Rank: c.rank, Depth: c.depth, Now: now, Avoid: c.avoid, AvoidIfOthers: c.lastFailure == fault.Rejected, Allowed: c.allowed(),
 		Options: route.Options{SpillAt: c.policy.SpillAt, EjectMax: c.policy.EjectMax, Ramp: c.policy.Ramp},
 	}
 	if c.policy.Mode != admission.ModeFull {
--- a/route/picker.go
+++ b/route/picker.go
@@ -104,7 +104,7 @@
 	// request.
 	AvoidIfOthers bool
 	// Among are the only instances that may be chosen, nil for any.
-	Among []*Instance
+	Allowed []*Instance
 }
 
 // Pick returns the instance to send a request to, or the reason why none
@@ -125,7 +125,7 @@
 	if svc == nil {
 		return nil, fault.NoBackend
 	}
-	if len(q.Among) > 0 {
+	if len(q.Allowed) > 0 {
 		return svc.among(q)
 	}
 	first, second := svc.LocalInstances, svc.other(q, r)
@@ -158,7 +158,7 @@
 // bestOf returns the best of best and the allowed ones of ins.
 func (q *Query) bestOf(ins []*Instance, best *Instance, code fault.Code) (*Instance, fault.Code) {
 	for _, in := range ins {
-		if !in.IsAnyOf(q.Among) {
+		if !in.IsAnyOf(q.Allowed) {
 			continue
 		}
 		if c := q.admits(in, ins); c != fault.None {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -216,13 +216,13 @@
 	s, r := snapshot(own, other), rng()
 	q := query(0)
 	been := *other[1]
-	q.Among = []*Instance{&been, own[2]}
+	q.Allowed = []*Instance{&been, own[2]}
 	q.Avoid = &been
 	for range 50 {
 		in, _ := s.Pick(q, r)
 		g.Expect(in).To(gomega.BeIdenticalTo(own[2]))
 	}
-	q.Among = []*Instance{&been}
+	q.Allowed = []*Instance{&been}
 	_, code := s.Pick(q, r)
 	g.Expect(code).To(gomega.Equal(fault.NoBackend))
 	q.AvoidIfOthers = true
