--- a/internal/pathlevel/pathlevel.go
+++ b/internal/pathlevel/pathlevel.go
@@ -76,7 +76,7 @@
 	}
 	var highest rank.Level
 	for _, e := range *edges {
-		l := route.Fade(rank.Level(e.level.Load()), now-time.Duration(e.at.Load()))
+		l := route.DecayLevel(rank.Level(e.level.Load()), now-time.Duration(e.at.Load()))
 		highest = max(highest, l)
 	}
 	return highest
--- a/route/instance.go
+++ b/route/instance.go
@@ -244,12 +244,12 @@
 
 // Level returns the admission level as far as it is still believed.
 func (o *Observations) Level(now time.Duration) rank.Level {
-	return Fade(rank.Level(o.level.Load()), now-time.Duration(o.levelAt.Load()))
+	return DecayLevel(rank.Level(o.level.Load()), now-time.Duration(o.levelAt.Load()))
 }
 
 // Fade returns what is left of a level of the given age: all of it for half
 // a second, then linearly less until none is left after another second.
-func Fade(l rank.Level, age time.Duration) rank.Level {
+func DecayLevel(l rank.Level, age time.Duration) rank.Level {
 	if age <= levelLife {
 		return l
 	}
