--- a/route/failing_test.go
+++ b/route/failing_test.go
@@ -11,17 +11,17 @@
 	"github.com/umberthread/umberthread/fault"
 )
 
-// attempts reports the outcomes of n attempts at an instance, every nth of
-// which was turned away by the backend server.
-func attempts(in *Instance, n, nth int, now, took time.Duration) {
+// reportAttempts reports the outcomes of n attempts at an instance, every nth of which
+// the backend server rejected.
+func reportAttempts(in *Instance, n, nth int, now, took time.Duration) {
 	for i := range n {
 		in.Observed.Begin()
 		in.Observed.End(now, Outcome{Rejected: nth > 0 && i%nth == 0, Took: took}, EjectOptions{Failures: 5, Time: time.Second})
 	}
 }
 
-// share returns the part of the picks that go to an instance.
-func share(s *Snapshot, in *Instance, now time.Duration) float64 {
+// pickShare returns the share of the picks that choose an instance.
+func pickShare(s *Snapshot, in *Instance, now time.Duration) float64 {
 	r := rng()
 	hits := 0
 	for range 1000 {
@@ -32,38 +32,37 @@
 	return float64(hits) / 1000
 }
 
-// TestServerThatFailsAShareIsAvoidedAndTriedAgain replays a server that turns
-// away every second request with most of its slots free: never five in a row.
+// A server that rejects every second request never fails often enough in a row to be
+// ejected, yet must be avoided and later tried again.
 func TestServerThatFailsAShareIsAvoidedAndTriedAgain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	own, others := instances("a", 1), instances("b", 1)
 	s := snapshot(own, others)
-	attempts(own[0], 50, 2, 0, 0)
+	reportAttempts(own[0], 50, 2, 0, 0)
 	g.Expect(own[0].Observed.Ejected()).To(gomega.BeFalse())
-	g.Expect(share(s, own[0], 0)).To(gomega.BeNumerically("<", 0.05))
-	g.Expect(share(s, own[0], 10*time.Second)).To(gomega.Equal(1.0))
+	g.Expect(pickShare(s, own[0], 0)).To(gomega.BeNumerically("<", 0.05))
+	g.Expect(pickShare(s, own[0], 10*time.Second)).To(gomega.Equal(1.0))
 }
 
-// TestSoundServersKeepTheirDomain: one failure in fifty is no reason to leave.
-func TestSoundServersKeepTheirDomain(t *testing.T) {
+// A failure share of one in fifty must not divert requests to another failure domain.
+func TestHealthyServersKeepLocalTraffic(t *testing.T) {
 	g := gomega.NewWithT(t)
 	own, others := instances("a", 1), instances("b", 1)
-	attempts(own[0], 100, 50, 0, 0)
-	g.Expect(share(snapshot(own, others), own[0], 0)).To(gomega.Equal(1.0))
+	reportAttempts(own[0], 100, 50, 0, 0)
+	g.Expect(pickShare(snapshot(own, others), own[0], 0)).To(gomega.Equal(1.0))
 }
 
-// TestSlowServerIsLeftWithoutBeingFull: a server that has become five times
-// slower holds few requests, but each far longer.
+// A server five times slower than the other domain must lose requests although it is not
+// full.
 func TestSlowServerIsLeftWithoutBeingFull(t *testing.T) {
 	g := gomega.NewWithT(t)
 	own, others := instances("a", 1), instances("b", 1)
-	attempts(own[0], 400, 0, 0, 500*time.Millisecond)
-	attempts(others[0], 400, 0, 0, 100*time.Millisecond)
-	g.Expect(share(snapshot(own, others), own[0], 0)).To(gomega.BeNumerically("<", 0.3))
+	reportAttempts(own[0], 400, 0, 0, 500*time.Millisecond)
+	reportAttempts(others[0], 400, 0, 0, 100*time.Millisecond)
+	g.Expect(pickShare(snapshot(own, others), own[0], 0)).To(gomega.BeNumerically("<", 0.3))
 }
 
-// TestCutOffInstanceGetsNothingHoweverManyFail: the bound on ejected instances
-// is for servers that fail, not for those behind a cut.
+// The limit on ejected instances must not route requests to unreachable instances.
 func TestCutOffInstanceGetsNothingHoweverManyFail(t *testing.T) {
 	g := gomega.NewWithT(t)
 	own := instances("a", 2)
@@ -78,9 +77,8 @@
 	g.Expect(in).To(gomega.Equal(own[1]))
 }
 
-// Two fifths of the servers of a service become so slow that no answer of theirs comes
-// before the callers' deadline, so that there are no times by which they could be told.
-// A chain of four calls must not meet one of them more than one time in five.
+// Guards against servers so slow that every request times out: they give no latency
+// samples, and must be avoided all the same, then tried again after recovery.
 func TestServersThatMissDeadlinesAreAvoidedAndTriedAgain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const (
@@ -124,23 +122,24 @@
 		}
 	}
 	g.Expect(float64(met) / float64(sent)).To(gomega.BeNumerically("<", mostMet))
-	// They are sound again: each has its part a while later.
+	// The slow servers have recovered; after a while each gets its share again.
 	later := learn + measure + 10*time.Second
 	for _, in := range own[:slow] {
-		g.Expect(share(s, in, later)).To(gomega.BeNumerically(">", 0.3/servers))
+		g.Expect(pickShare(s, in, later)).To(gomega.BeNumerically(">", 0.3/servers))
 	}
 }
 
-// A request that had little time left says nothing of the server that it was given up at.
+// A request that times out sooner than the server usually answers must not count as its
+// failure.
 func TestServersAreNotBlamedForShortDeadlines(t *testing.T) {
 	g := gomega.NewWithT(t)
 	own := instances("a", 2)
 	for _, in := range own {
-		attempts(in, 100, 0, 0, 200*time.Millisecond)
+		reportAttempts(in, 100, 0, 0, 200*time.Millisecond)
 	}
 	for range 50 {
 		own[0].Observed.Begin()
 		own[0].Observed.End(0, Outcome{Waited: 100 * time.Millisecond}, EjectOptions{Failures: 5, Time: time.Second})
 	}
-	g.Expect(share(snapshot(own), own[0], 0)).To(gomega.BeNumerically("~", 0.5, 0.1))
+	g.Expect(pickShare(snapshot(own), own[0], 0)).To(gomega.BeNumerically("~", 0.5, 0.1))
 }
--- a/route/instance.go
+++ b/route/instance.go
@@ -8,28 +8,28 @@
 	"github.com/umberthread/umberthread/rank"
 )
 
-// Instance is a backend server as its callers see it: what it announced and
-// what they observed. The announced part is immutable; the observed part is
-// atomic, so that requests share it without a lock.
+// Instance is a backend server as its callers see it: the announced part, which is
+// immutable, and the observations, which are atomic so that requests share them without a
+// lock.
 type Instance struct {
-	// ID is the id of the node beside the backend server.
+	// ID identifies the node beside the backend server.
 	ID string
-	// Addr is where the node takes requests of other nodes.
+	// Addr is the address at which the node accepts requests of other nodes.
 	Addr string
 	// Domain is the failure domain.
 	Domain string
-	// Slots is the announced concurrency.
+	// Slots is the announced concurrency limit.
 	Slots int
-	// Weight scales the share of load; 1 is normal.
+	// Weight scales the instance's share of the load; 1 is normal.
 	Weight float64
 	// Since is when the backend server began to serve, on the picker's clock.
 	Since time.Duration
 
-	// Seen is the observed part; it survives new snapshots.
+	// Observed holds the observations; it is shared by successive snapshots.
 	Observed *Observations
 }
 
-// In tells whether the instance is one of others, which may be of an earlier
+// IsAnyOf reports whether the instance is one of others, which may come from an earlier
 // snapshot.
 func (i *Instance) IsAnyOf(others []*Instance) bool {
 	for _, o := range others {
@@ -40,35 +40,35 @@
 	return false
 }
 
-// Observed is what callers have seen of an instance. The zero value is an
-// instance of which nothing is known.
+// Observations holds what callers have observed of an instance. The zero value describes
+// an instance without observations. It is safe for concurrent use.
 type Observations struct {
-	inflight   atomic.Int32
-	remoteLoad atomic.Uint32 // in flight << 16 | limit, as last reported
-	level      atomic.Uint32
-	levelAt    atomic.Int64
-	failures   atomic.Int32
-	ejectedTo  atomic.Int64
-	probing    atomic.Bool
-	latency    atomic.Uint64 // float64 bits of a moving mean, in seconds
-	draining   atomic.Bool
-	failing    atomic.Uint64 // float64 bits of the share of failed attempts
-	failingAt  atomic.Int64
-	cutOff     atomic.Bool
-	told       atomic.Bool
+	inflight            atomic.Int32
+	remoteLoad          atomic.Uint32 // in flight << 16 | limit, as last reported
+	admissionLevel      atomic.Uint32
+	admissionLevelAt    atomic.Int64
+	consecutiveFailures atomic.Int32
+	ejectedUntil        atomic.Int64
+	probing             atomic.Bool
+	meanLatency         atomic.Uint64 // float64 bits of a moving mean, in seconds
+	draining            atomic.Bool
+	failureShareBits    atomic.Uint64 // float64 bits of the moving share of failed attempts
+	failureShareAt      atomic.Int64
+	unreachable         atomic.Bool
+	ejectionReported    atomic.Bool
 }
 
-// JustEjected tells once that the instance was ejected.
+// ConsumeEjection reports true once for each ejection of the instance.
 func (o *Observations) ConsumeEjection() bool {
-	return o.Ejected() && o.told.CompareAndSwap(false, true)
+	return o.Ejected() && o.ejectionReported.CompareAndSwap(false, true)
 }
 
-// CutOff takes in whether the node beside the instance can be reached at all.
-// One that cannot gets no requests, however many others fail.
-func (o *Observations) SetUnreachable(cut bool) { o.cutOff.Store(cut) }
+// SetUnreachable records whether the node beside the instance is unreachable. An
+// unreachable instance gets no requests, even while most other instances are ejected.
+func (o *Observations) SetUnreachable(cut bool) { o.unreachable.Store(cut) }
 
-// Begin counts a request sent to the instance. The first one to an ejected
-// instance is its probe.
+// Begin counts a request sent to the instance. A request to an ejected instance is its
+// probe.
 func (o *Observations) Begin() {
 	o.inflight.Add(1)
 	if o.Ejected() {
@@ -76,193 +76,192 @@
 	}
 }
 
-// Announced takes in what the instance says of itself, which overrides what a
-// refusal said earlier.
+// SetDraining records the announced draining state, which overrides that of earlier
+// refusals.
 func (o *Observations) SetDraining(draining bool) { o.draining.Store(draining) }
 
-// InFlight returns the requests that this node has at the instance.
+// InFlight returns the number of requests that this node has in flight at the instance.
 func (o *Observations) InFlight() int { return int(o.inflight.Load()) }
 
-// Report is what an answer, or its absence, says of an instance.
+// Outcome describes the result of a request to an instance, answered or not.
 type Outcome struct {
 	// Failed is set if the instance, not the request, was at fault.
 	Failed bool
-	// Rejected is set if the backend server itself turned the request away.
+	// Rejected is set if the backend server itself rejected the request.
 	Rejected bool
-	// Draining is set if the instance refused because it is leaving.
+	// Draining is set if the instance refused the request because it is draining.
 	Draining bool
-	// HasLoad is set if Level, InFlight and Limit came with the answer.
+	// HasLoad is set if the answer carried Level, InFlight and Limit.
 	HasLoad bool
 	// Level is the instance's own admission level.
 	Level rank.Level
-	// InFlight and Limit are its load.
+	// InFlight and Limit are the instance's reported load and concurrency limit.
 	InFlight, Limit uint16
-	// Took is the time until the answer, zero if there was none.
+	// Took is the time until the answer, zero without an answer.
 	Took time.Duration
-	// Waited is how long an answer was waited for that did not come in time, else
-	// zero.
+	// Waited is how long the request waited for an answer before it timed out, zero
+	// otherwise.
 	Waited time.Duration
 }
 
-// latencyKeep is the share of the old mean that a new sample leaves. The kinds
-// of one service differ in time up to twenty times, so that fewer samples
-// would show the mix and not the instance.
-const latencyKeep = 0.97
+// latencyDecay is the weight of the old mean latency when a sample is added. It is high
+// because the request kinds of a service differ widely in latency.
+const latencyDecay = 0.97
 
-// End takes in the outcome of a request begun with Begin.
+// End records the outcome of a request counted by Begin.
 func (o *Observations) End(now time.Duration, r Outcome, e EjectOptions) {
 	o.inflight.Add(-1)
 	o.probing.Store(false)
-	o.observeFailure(now, r)
+	o.updateFailureShare(now, r)
 	if r.HasLoad {
 		o.remoteLoad.Store(uint32(r.InFlight)<<16 | uint32(r.Limit))
-		o.level.Store(uint32(r.Level))
-		o.levelAt.Store(int64(now))
+		o.admissionLevel.Store(uint32(r.Level))
+		o.admissionLevelAt.Store(int64(now))
 	}
 	if r.Draining {
 		o.draining.Store(true)
 	}
 	if r.Failed {
-		o.fail(now, e)
+		o.recordFailure(now, e)
 		return
 	}
 	if r.HasLoad || r.Took > 0 {
-		o.failures.Store(0)
+		o.consecutiveFailures.Store(0)
 	}
 	if r.Took > 0 {
-		old := math.Float64frombits(o.latency.Load())
+		old := math.Float64frombits(o.meanLatency.Load())
 		mean := r.Took.Seconds()
 		if old > 0 {
-			mean = old*latencyKeep + mean*(1-latencyKeep)
+			mean = old*latencyDecay + mean*(1-latencyDecay)
 		}
-		o.latency.Store(math.Float64bits(mean))
+		o.meanLatency.Store(math.Float64bits(mean))
 	}
 }
 
 const (
-	// failingKeep is the share of the old share of failures that an attempt
-	// leaves: a server that fails half of its requests shows after five.
-	failingKeep = 0.85
-	// failingLife is the time in which the share fades to a third, so that an
-	// instance that is avoided is tried again.
-	failingLife = 3 * time.Second
-	// failingFrom is the share from which an instance is avoided. Sound
-	// servers fail well under one request in twenty.
-	failingFrom = 0.12
-	// failingLoad is the load that an instance that always fails seems to
-	// have beside its own: more than another at full load.
-	failingLoad = 3
+	// failureShareDecay is the weight of the old failure share when an attempt is added.
+	failureShareDecay = 0.85
+	// failureShareLifetime is the time in which the failure share decays to 1/e, so that
+	// an avoided instance is tried again.
+	failureShareLifetime = 3 * time.Second
+	// minPenalizedFailureShare is the failure share from which an instance is penalized.
+	minPenalizedFailureShare = 0.12
+	// maxFailurePenalty is the load added to an instance that always fails, in multiples
+	// of its capacity. It exceeds the load of a full instance.
+	maxFailurePenalty = 3
 )
 
-// observeFailure keeps the share of attempts that failed at the instance,
-// whatever its load. A server that turns away or fails some of its requests
-// cannot be told by failures in a row.
-func (o *Observations) observeFailure(now time.Duration, r Outcome) {
+// updateFailureShare updates the moving share of failed attempts. It detects an instance
+// that fails some of its requests but never enough in a row to be ejected.
+func (o *Observations) updateFailureShare(now time.Duration, r Outcome) {
 	x := 0.0
-	if r.Failed || r.Rejected || o.late(r) {
+	if r.Failed || r.Rejected || o.exceededMeanLatency(r) {
 		x = 1
 	} else if o.Ejected() {
-		// A probe went well: the ejected instance starts afresh.
-		o.failing.Store(0)
+		// A successful probe resets the failure share.
+		o.failureShareBits.Store(0)
 		return
 	}
-	share := o.failingShare(now)
+	share := o.failureShare(now)
 	if x == 0 && share == 0 {
 		return
 	}
-	// A lost race drops one attempt of many.
-	o.failing.Store(math.Float64bits(share*failingKeep + x*(1-failingKeep)))
-	o.failingAt.Store(int64(now))
+	// A concurrent update may be lost; each is one attempt of many.
+	o.failureShareBits.Store(math.Float64bits(share*failureShareDecay + x*(1-failureShareDecay)))
+	o.failureShareAt.Store(int64(now))
 }
 
-// late tells whether the instance, not the time that the request had left, was the
-// reason that an answer did not come: it was waited for longer than answers usually
-// take. A server that has become too slow for the deadlines of its callers has no
-// answers by which it could be told.
-func (o *Observations) late(r Outcome) bool {
-	return r.Waited.Seconds() > math.Float64frombits(o.latency.Load())
+// exceededMeanLatency reports whether an unanswered request waited longer than the mean
+// latency, so that the instance and not a short deadline is to blame. It detects an
+// instance too slow to answer any request before its deadline.
+func (o *Observations) exceededMeanLatency(r Outcome) bool {
+	return r.Waited.Seconds() > math.Float64frombits(o.meanLatency.Load())
 }
 
-func (o *Observations) failingShare(now time.Duration) float64 {
-	share := math.Float64frombits(o.failing.Load())
+// failureShare returns the share of failed attempts, decayed since its last update.
+func (o *Observations) failureShare(now time.Duration) float64 {
+	share := math.Float64frombits(o.failureShareBits.Load())
 	if share == 0 {
 		return 0
 	}
-	age := now - time.Duration(o.failingAt.Load())
-	return share * math.Exp(-age.Seconds()/failingLife.Seconds())
+	age := now - time.Duration(o.failureShareAt.Load())
+	return share * math.Exp(-age.Seconds()/failureShareLifetime.Seconds())
 }
 
-// penalty is the load that the instance's failures stand for.
-// While it is ejected, probing decides alone.
-func (o *Observations) penalty(now time.Duration) float64 {
+// failurePenalty returns the load added for the instance's failures. It is zero for an
+// ejected instance, which only probes can reach.
+func (o *Observations) failurePenalty(now time.Duration) float64 {
 	if o.Ejected() {
 		return 0
 	}
-	share := o.failingShare(now)
-	if share < failingFrom {
+	share := o.failureShare(now)
+	if share < minPenalizedFailureShare {
 		return 0
 	}
-	return failingLoad * share
+	return maxFailurePenalty * share
 }
 
-// EjectOptions say when an instance is ejected.
+// EjectOptions configures when an instance is ejected and for how long.
 type EjectOptions struct {
-	// Failures in a row that eject.
+	// Failures is the number of consecutive failures that eject an instance.
 	Failures int
-	// Time until an ejected instance is probed.
+	// Time is how long an instance stays ejected before it is probed.
 	Time time.Duration
 }
 
-func (o *Observations) fail(now time.Duration, e EjectOptions) {
-	failures := int(o.failures.Add(1))
+// recordFailure counts a consecutive failure and ejects the instance at the limit.
+func (o *Observations) recordFailure(now time.Duration, e EjectOptions) {
+	failures := int(o.consecutiveFailures.Add(1))
 	if failures == e.Failures {
-		o.told.Store(false)
+		o.ejectionReported.Store(false)
 	}
 	if failures >= e.Failures {
-		o.ejectedTo.Store(int64(now + e.Time))
+		o.ejectedUntil.Store(int64(now + e.Time))
 	}
 }
 
-// Ejected tells whether the instance is ejected, probing included.
-func (o *Observations) Ejected() bool { return o.ejectedTo.Load() != 0 && o.failures.Load() > 0 }
+// Ejected reports whether the instance is ejected, including while it is probed.
+func (o *Observations) Ejected() bool {
+	return o.ejectedUntil.Load() != 0 && o.consecutiveFailures.Load() > 0
+}
 
-// usable tells whether a request may go to the instance: it is not ejected,
-// or its time is over and no other request probes it.
-func (o *Observations) usable(now time.Duration) bool {
-	if o.draining.Load() || o.cutOff.Load() {
+// isUsable reports whether a request may go to the instance: it is neither draining nor
+// unreachable, and not ejected unless it is due for a probe and not being probed.
+func (o *Observations) isUsable(now time.Duration) bool {
+	if o.draining.Load() || o.unreachable.Load() {
 		return false
 	}
 	if !o.Ejected() {
 		return true
 	}
-	return now >= time.Duration(o.ejectedTo.Load()) && !o.probing.Load()
+	return now >= time.Duration(o.ejectedUntil.Load()) && !o.probing.Load()
 }
 
-// levelLife is how long a reported level is believed; then it fades, so that
-// an instance that is sent nothing is tried again.
-const levelLife = 500 * time.Millisecond
+// levelFreshFor is how long a reported admission level counts in full before it decays,
+// so that an instance that gets no requests is tried again.
+const levelFreshFor = 500 * time.Millisecond
 
-// Level returns the admission level as far as it is still believed.
+// Level returns the reported admission level, decayed by its age.
 func (o *Observations) Level(now time.Duration) rank.Level {
-	return DecayLevel(rank.Level(o.level.Load()), now-time.Duration(o.levelAt.Load()))
+	return DecayLevel(rank.Level(o.admissionLevel.Load()), now-time.Duration(o.admissionLevelAt.Load()))
 }
 
-// Fade returns what is left of a level of the given age: all of it for half
-// a second, then linearly less until none is left after another second.
+// DecayLevel returns an admission level decayed by its age: undiminished for half a
+// second, then falling linearly to zero within another second.
 func DecayLevel(l rank.Level, age time.Duration) rank.Level {
-	if age <= levelLife {
+	if age <= levelFreshFor {
 		return l
 	}
-	left := 1 - float64(age-levelLife)/float64(2*levelLife)
+	left := 1 - float64(age-levelFreshFor)/float64(2*levelFreshFor)
 	if left <= 0 {
 		return 0
 	}
 	return rank.Level(float64(l) * left)
 }
 
-// load is the expected occupation of the instance: the greater of the
-// requests that this node has there and those that it reported, over its
-// limit, which grows while it is new.
+// load returns the expected utilisation of the instance: the larger of its reported
+// requests and those that this node has in flight there, divided by its weighted limit,
+// which is reduced while the instance ramps up. Failures add a penalty.
 func (i *Instance) load(now, ramp time.Duration) float64 {
 	word := i.Observed.remoteLoad.Load()
 	reported, limit := float64(word>>16), float64(word&0xffff)
@@ -270,19 +269,21 @@
 		limit = float64(max(i.Slots, 1))
 	}
 	own := float64(i.Observed.inflight.Load())
-	return (max(own, reported)+own/limit)/(limit*i.Weight*i.rampFactor(now, ramp)) + i.Observed.penalty(now)
+	return (max(own, reported)+own/limit)/(limit*i.Weight*i.rampFactor(now, ramp)) + i.Observed.failurePenalty(now)
 }
 
-// latency is the mean time of the instance's answers, 0 while unknown.
-func (i *Instance) latency() float64 { return math.Float64frombits(i.Observed.latency.Load()) }
+// latency returns the mean latency of the instance's answers in seconds, 0 if unknown.
+func (i *Instance) latency() float64 { return math.Float64frombits(i.Observed.meanLatency.Load()) }
 
-// rampStart is the share with which a new instance begins.
-const rampStart = 0.1
+// minRampFactor is the share of its capacity with which a new instance starts.
+const minRampFactor = 0.1
 
+// rampFactor returns the share of its capacity that a new instance is given, 1 after the
+// ramp-up time.
 func (i *Instance) rampFactor(now, ramp time.Duration) float64 {
 	age := now - i.Since
 	if ramp <= 0 || age >= ramp {
 		return 1
 	}
-	return max(rampStart, float64(age)/float64(ramp))
+	return max(minRampFactor, float64(age)/float64(ramp))
 }
--- a/route/picker.go
+++ b/route/picker.go
@@ -1,12 +1,12 @@
-// Package route chooses the backend server that a request goes to.
+// Package route chooses the backend server for each request.
 //
-// A Snapshot is immutable and swapped whole when the membership changes, so
-// that a request takes no lock. Within it, a request goes to its own failure
-// domain first and spills over to the others with a probability that grows
-// with the own domain's utilisation; within a domain the less loaded of two
-// random instances is taken ("power of two choices", Mitzenmacher, 2001).
-// Failing instances are ejected, at most a share of a service at once, and
-// probed back with single requests; new ones ramp up; leaving ones get nothing.
+// A Snapshot is an immutable routing table, swapped as a whole when the membership
+// changes, so that requests take no lock. A request prefers its own failure domain and
+// spills over to others with a probability that grows with the own domain's utilisation.
+// Within a domain the less loaded of two random instances is chosen ("power of two
+// choices", Mitzenmacher, 2001). Failing instances are ejected, up to a maximum share of
+// their domain, and readmitted after a single successful probe; new instances ramp up,
+// and draining ones get no requests.
 package route
 
 import (
@@ -16,60 +16,61 @@
 	"github.com/umberthread/umberthread/rank"
 )
 
-// Options are the routing settings of one service.
+// Options holds the routing settings of one service.
 type Options struct {
-	// SpillAt is the utilisation from which requests spill over.
+	// SpillAt is the utilisation of the own failure domain above which requests spill
+	// over to others.
 	SpillAt float64
-	// EjectMax is the largest share of a domain's instances ejected at once.
+	// EjectMax is the largest share of a domain's instances that may be ejected at once.
 	EjectMax float64
-	// Ramp is the time over which a new instance's share grows.
+	// Ramp is the time over which a new instance's share of the load grows.
 	Ramp time.Duration
 }
 
-// Service is the set of instances of one service.
+// Service holds the instances of one service.
 type Service struct {
-	// Own are the instances in the node's own failure domain.
+	// LocalInstances are the instances in the node's own failure domain.
 	LocalInstances []*Instance
-	// Others are those of the other domains, each domain with one that can
-	// be reached.
+	// RemoteDomains are the instances of the other failure domains, grouped by domain;
+	// only reachable domains with instances are included.
 	RemoteDomains [][]*Instance
 }
 
-// Snapshot is an immutable routing table. Services are keyed fleet/service.
+// Snapshot is an immutable routing table. Services is keyed by fleet/service.
 type Snapshot struct {
 	Services map[string]*Service
-	// Gone tells since when services that had instances have none, on the
-	// picker's clock.
-	Gone map[string]time.Duration
+	// UnavailableSince maps the services that lost all their instances to the time of the
+	// loss, on the picker's clock.
+	UnavailableSince map[string]time.Duration
 }
 
-// Follow takes over from the snapshot before which services have lost all their
-// instances. It is called once, before the snapshot is swapped in.
+// InheritUnavailable derives from the previous snapshot which services have lost all
+// their instances. It must be called once, before the snapshot is published.
 func (s *Snapshot) InheritUnavailable(before *Snapshot, now time.Duration) {
-	s.Gone = map[string]time.Duration{}
-	for name, since := range before.Gone {
-		s.Gone[name] = since
+	s.UnavailableSince = map[string]time.Duration{}
+	for name, since := range before.UnavailableSince {
+		s.UnavailableSince[name] = since
 	}
 	for name := range before.Services {
-		s.Gone[name] = now
+		s.UnavailableSince[name] = now
 	}
 	for name := range s.Services {
-		delete(s.Gone, name)
+		delete(s.UnavailableSince, name)
 	}
 }
 
-// MayReturn tells whether an instance of a service is likely to be back soon:
-// some are known that take nothing now, or the last was lost within the time.
+// MayReturn reports whether a service is likely to accept requests again soon: it has
+// instances, usable or not, or lost the last one less than within ago.
 func (s *Snapshot) MayReturn(service string, now, within time.Duration) bool {
 	if s.Services[service] != nil {
 		return true
 	}
-	since, ok := s.Gone[service]
+	since, ok := s.UnavailableSince[service]
 	return ok && now-since < within
 }
 
-// Has tells whether a service has an instance, other than the one with the id,
-// that takes requests.
+// HasUsableInstance reports whether a service has a usable instance other than the one
+// with the ID except.
 func (s *Snapshot) HasUsableInstance(service, except string, now time.Duration) bool {
 	svc := s.Services[service]
 	if svc == nil {
@@ -77,7 +78,7 @@
 	}
 	for _, ins := range append([][]*Instance{svc.LocalInstances}, svc.RemoteDomains...) {
 		for _, in := range ins {
-			if in.ID != except && in.Observed.usable(now) {
+			if in.ID != except && in.Observed.isUsable(now) {
 				return true
 			}
 		}
@@ -85,13 +86,13 @@
 	return false
 }
 
-// Rand is the source of choices, uniform in [0, 1) and [0, n).
+// Rand is a source of uniform random numbers in [0, 1) and [0, n).
 type Rand interface {
 	Float64() float64
 	IntN(n int) int
 }
 
-// Query is what a pick depends on beside the table.
+// Query holds the inputs of a pick besides the routing table.
 type Query struct {
 	Service string
 	Rank    rank.Rank
@@ -100,16 +101,14 @@
 	Options Options
 	// Avoid is an instance that has just failed this request, or nil.
 	Avoid *Instance
-	// AvoidIfOthers is set if Avoid is chosen where no other instance takes the
-	// request.
+	// AvoidIfOthers allows Avoid to be chosen if no other instance admits the request.
 	AvoidIfOthers bool
-	// Among are the only instances that may be chosen, nil for any.
+	// Allowed restricts the choice to these instances; all are allowed if it is empty.
 	Allowed []*Instance
 }
 
-// Pick returns the instance to send a request to, or the reason why none
-// takes it: NoBackend, or Overload if the levels of all that could be tried
-// shed its rank.
+// Pick returns the instance to send a request to. If there is none, the code is
+// NoBackend, or Overload if admission levels shed the rank of the request.
 func (s *Snapshot) Pick(q *Query, r Rand) (*Instance, fault.Code) {
 	in, code := s.pick(q, r)
 	if in != nil || q.Avoid == nil || !q.AvoidIfOthers {
@@ -126,28 +125,28 @@
 		return nil, fault.NoBackend
 	}
 	if len(q.Allowed) > 0 {
-		return svc.among(q)
+		return svc.pickAllowed(q)
 	}
-	first, second := svc.LocalInstances, svc.other(q, r)
-	if len(first) == 0 || len(second) > 0 && q.spills(first, second, r) {
+	first, second := svc.LocalInstances, svc.chooseRemoteDomain(q, r)
+	if len(first) == 0 || len(second) > 0 && q.shouldSpillOver(first, second, r) {
 		first, second = second, first
 	}
-	in, code := q.choose(first, r)
+	in, code := q.chooseInstance(first, r)
 	if in != nil || len(svc.RemoteDomains) == 0 {
 		return in, code
 	}
-	if spare, c := q.choose(second, r); spare != nil {
+	if spare, c := q.chooseInstance(second, r); spare != nil {
 		return spare, c
 	}
-	return svc.any(q, r, code)
+	return svc.pickFromAnyRemoteDomain(q, r, code)
 }
 
-// among returns the best of the instances that the query allows and that still
-// serve.
-func (s *Service) among(q *Query) (*Instance, fault.Code) {
-	best, code := q.bestOf(s.LocalInstances, nil, fault.NoBackend)
+// pickAllowed returns the best instance that the query allows and that admits the
+// request.
+func (s *Service) pickAllowed(q *Query) (*Instance, fault.Code) {
+	best, code := q.bestAllowed(s.LocalInstances, nil, fault.NoBackend)
 	for _, ins := range s.RemoteDomains {
-		best, code = q.bestOf(ins, best, code)
+		best, code = q.bestAllowed(ins, best, code)
 	}
 	if best != nil {
 		return best, fault.None
@@ -155,39 +154,40 @@
 	return nil, code
 }
 
-// bestOf returns the best of best and the allowed ones of ins.
-func (q *Query) bestOf(ins []*Instance, best *Instance, code fault.Code) (*Instance, fault.Code) {
+// bestAllowed returns the best of best and the allowed instances of ins, and the reason
+// so far if there is none.
+func (q *Query) bestAllowed(ins []*Instance, best *Instance, code fault.Code) (*Instance, fault.Code) {
 	for _, in := range ins {
 		if !in.IsAnyOf(q.Allowed) {
 			continue
 		}
-		if c := q.admits(in, ins); c != fault.None {
-			code = worse(code, c)
+		if c := q.admissionCode(in, ins); c != fault.None {
+			code = preferOverload(code, c)
 			continue
 		}
-		if best == nil || q.better(in, best) {
+		if best == nil || q.isBetter(in, best) {
 			best = in
 		}
 	}
 	return best, code
 }
 
-// any looks at every other domain, from a random start, for an instance that
-// takes the request. code is the reason so far.
-func (s *Service) any(q *Query, r Rand, code fault.Code) (*Instance, fault.Code) {
+// pickFromAnyRemoteDomain tries all remote domains from a random start for an instance
+// that admits the request. code is the reason so far.
+func (s *Service) pickFromAnyRemoteDomain(q *Query, r Rand, code fault.Code) (*Instance, fault.Code) {
 	from := r.IntN(len(s.RemoteDomains))
 	for i := range s.RemoteDomains {
-		in, c := q.choose(s.RemoteDomains[(from+i)%len(s.RemoteDomains)], r)
+		in, c := q.chooseInstance(s.RemoteDomains[(from+i)%len(s.RemoteDomains)], r)
 		if in != nil {
 			return in, c
 		}
-		code = worse(code, c)
+		code = preferOverload(code, c)
 	}
 	return nil, code
 }
 
-// other returns the less loaded of two random other domains.
-func (s *Service) other(q *Query, r Rand) []*Instance {
+// chooseRemoteDomain returns the less utilised of two random remote domains.
+func (s *Service) chooseRemoteDomain(q *Query, r Rand) []*Instance {
 	n := len(s.RemoteDomains)
 	if n == 0 {
 		return nil
@@ -200,15 +200,15 @@
 	return a
 }
 
-// utilisation is the mean load of up to sampleMax of the instances.
+// utilisation returns the mean load of up to maxSampledInstances instances, in [0, 1].
 func (q *Query) utilisation(ins []*Instance) float64 {
-	n := min(len(ins), sampleMax)
+	n := min(len(ins), maxSampledInstances)
 	if n == 0 {
 		return 1
 	}
 	sum := 0.0
 	for _, in := range ins[:n] {
-		if in.Observed.draining.Load() || in.Observed.cutOff.Load() || in.Observed.Ejected() {
+		if in.Observed.draining.Load() || in.Observed.unreachable.Load() || in.Observed.Ejected() {
 			sum++
 			continue
 		}
@@ -217,14 +217,15 @@
 	return sum / float64(n)
 }
 
-// sampleMax bounds the instances looked at for a domain's utilisation.
-const sampleMax = 8
+// maxSampledInstances bounds how many instances of a domain are inspected.
+const maxSampledInstances = 8
 
-// spills draws whether a request leaves the own domain: never below SpillAt,
-// then with a probability that rises linearly to one at full utilisation.
-func (q *Query) spills(own, others []*Instance, r Rand) bool {
+// shouldSpillOver decides at random whether a request leaves its own domain. The
+// probability grows linearly from 0 at SpillAt to 1 at full utilisation; a domain much
+// slower than the other one loses more requests.
+func (q *Query) shouldSpillOver(own, others []*Instance, r Rand) bool {
 	u := q.utilisation(own)
-	if slow := slowdown(own, others); slow > slowFrom && r.Float64() < 1-1/slow {
+	if slow := slowdown(own, others); slow > slowdownThreshold && r.Float64() < 1-1/slow {
 		return true
 	}
 	at := q.Options.SpillAt
@@ -234,13 +235,12 @@
 	return r.Float64() < (u-at)/(1-at)
 }
 
-// slowFrom is how many times slower than another domain the own one must be
-// for requests to leave it. Workers of one service differ in speed up to three
-// times while all is well.
-const slowFrom = 3
+// slowdownThreshold is the ratio of mean latencies above which a difference in speed
+// counts. Smaller ratios are normal among the workers of one service.
+const slowdownThreshold = 3
 
-// slowdown is how many times slower the answers of some instances are than
-// those of others; 0 while either is unknown.
+// slowdown returns the ratio of the mean latencies of two sets of instances, 0 if either
+// is unknown.
 func slowdown(ins, others []*Instance) float64 {
 	a, b := meanLatency(ins), meanLatency(others)
 	if a == 0 || b == 0 {
@@ -249,9 +249,11 @@
 	return a / b
 }
 
+// meanLatency returns the mean latency in seconds of up to maxSampledInstances instances,
+// 0 if unknown.
 func meanLatency(ins []*Instance) float64 {
 	sum, n := 0.0, 0.0
-	for _, in := range ins[:min(len(ins), sampleMax)] {
+	for _, in := range ins[:min(len(ins), maxSampledInstances)] {
 		if l := in.latency(); l > 0 {
 			sum += l
 			n++
@@ -263,24 +265,25 @@
 	return sum / n
 }
 
-// better tells whether a is the better choice of two: the one with less load,
-// unless it is so much slower that its load is the longer wait.
-func (q *Query) better(a, b *Instance) bool {
+// isBetter reports whether a is the better choice of two: the less loaded one, or, if
+// their latencies differ by more than slowdownThreshold, the one with the lower product
+// of load and latency.
+func (q *Query) isBetter(a, b *Instance) bool {
 	la, lb := a.load(q.Now, q.Options.Ramp), b.load(q.Now, q.Options.Ramp)
 	ta, tb := a.latency(), b.latency()
-	if ta > slowFrom*tb && tb > 0 || tb > slowFrom*ta && ta > 0 {
-		return (la+leastLoad)*ta < (lb+leastLoad)*tb
+	if ta > slowdownThreshold*tb && tb > 0 || tb > slowdownThreshold*ta && ta > 0 {
+		return (la+ownRequestLoad)*ta < (lb+ownRequestLoad)*tb
 	}
 	return la < lb
 }
 
-// leastLoad stands for the load of the request itself where instances of very
-// different speed are compared.
-const leastLoad = 0.1
+// ownRequestLoad stands for the load of the request itself when instances of very
+// different latency are compared.
+const ownRequestLoad = 0.1
 
-// choose takes the less loaded of two random instances that may be used. If
-// the draws find none it looks at all, from a random start.
-func (q *Query) choose(ins []*Instance, r Rand) (*Instance, fault.Code) {
+// chooseInstance returns the better of two random instances that admit the request. If
+// neither does, it tries all from a random start.
+func (q *Query) chooseInstance(ins []*Instance, r Rand) (*Instance, fault.Code) {
 	n := len(ins)
 	if n == 0 {
 		return nil, fault.NoBackend
@@ -293,60 +296,61 @@
 		if draw == 1 {
 			in = ins[(first+1+r.IntN(n-1))%n]
 		}
-		if c := q.admits(in, ins); c != fault.None {
-			code = worse(code, c)
+		if c := q.admissionCode(in, ins); c != fault.None {
+			code = preferOverload(code, c)
 			continue
 		}
-		if best == nil || q.better(in, best) {
+		if best == nil || q.isBetter(in, best) {
 			best = in
 		}
 	}
 	if best != nil {
-		return q.notFailing(best, ins, r), fault.None
+		return q.replaceFailing(best, ins, r), fault.None
 	}
 	from := r.IntN(n)
 	for i := range n {
 		in := ins[(from+i)%n]
-		c := q.admits(in, ins)
+		c := q.admissionCode(in, ins)
 		if c == fault.None {
 			return in, fault.None
 		}
-		code = worse(code, c)
+		code = preferOverload(code, c)
 	}
 	return nil, code
 }
 
-// notFailing returns the best of some more instances if the one that was drawn fails a
-// share of its requests. Where two fifths of a service do, both draws are such in one of
-// six, and a chain of four calls meets one every second time.
-func (q *Query) notFailing(drawn *Instance, ins []*Instance, r Rand) *Instance {
-	if drawn.Observed.penalty(q.Now) == 0 || len(ins) <= 2 {
+// replaceFailing returns the best of several more instances if the drawn one has a
+// failure penalty, since both random draws may hit failing instances.
+func (q *Query) replaceFailing(drawn *Instance, ins []*Instance, r Rand) *Instance {
+	if drawn.Observed.failurePenalty(q.Now) == 0 || len(ins) <= 2 {
 		return drawn
 	}
 	best := drawn
 	from := r.IntN(len(ins))
-	for i := range min(len(ins), sampleMax) {
+	for i := range min(len(ins), maxSampledInstances) {
 		in := ins[(from+i)%len(ins)]
-		if q.admits(in, ins) == fault.None && q.better(in, best) {
+		if q.admissionCode(in, ins) == fault.None && q.isBetter(in, best) {
 			best = in
 		}
 	}
 	return best
 }
 
-// worse prefers Overload, the more telling of the two reasons.
-func worse(a, b fault.Code) fault.Code {
+// preferOverload returns Overload if a is Overload, else b.
+func preferOverload(a, b fault.Code) fault.Code {
 	if a == fault.Overload {
 		return a
 	}
 	return b
 }
 
-func (q *Query) admits(in *Instance, all []*Instance) fault.Code {
+// admissionCode returns None if the instance may take the request, else the reason why
+// not.
+func (q *Query) admissionCode(in *Instance, all []*Instance) fault.Code {
 	if q.Avoid != nil && in.Observed == q.Avoid.Observed {
 		return fault.NoBackend
 	}
-	if !in.Observed.usable(q.Now) && !q.tooManyEjected(in, all) {
+	if !in.Observed.isUsable(q.Now) && !q.tooManyEjected(in, all) {
 		return fault.NoBackend
 	}
 	if !in.Observed.Level(q.Now).Admits(q.Rank, q.Depth) {
@@ -355,11 +359,11 @@
 	return fault.None
 }
 
-// tooManyEjected tells whether an ejected instance is used all the same,
-// because more than EjectMax of the instances are ejected. If nearly all
-// fail, the fault is rarely theirs, and shutting them out loses what is left.
+// tooManyEjected reports whether an ejected instance is used nevertheless, because more
+// than EjectMax of the instances are ejected: if nearly all fail, the cause is rarely
+// theirs.
 func (q *Query) tooManyEjected(in *Instance, all []*Instance) bool {
-	if in.Observed.draining.Load() || in.Observed.cutOff.Load() {
+	if in.Observed.draining.Load() || in.Observed.unreachable.Load() {
 		return false
 	}
 	ejected := 0
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -13,12 +13,12 @@
 	"github.com/umberthread/umberthread/rank"
 )
 
-const longAgo = -time.Hour
+const servingSinceLongAgo = -time.Hour
 
 func instances(domain string, n int) []*Instance {
 	var out []*Instance
 	for i := range n {
-		out = append(out, &Instance{ID: fmt.Sprintf("%s%d", domain, i), Domain: domain, Slots: 10, Weight: 1, Since: longAgo, Observed: &Observations{}})
+		out = append(out, &Instance{ID: fmt.Sprintf("%s%d", domain, i), Domain: domain, Slots: 10, Weight: 1, Since: servingSinceLongAgo, Observed: &Observations{}})
 	}
 	return out
 }
@@ -33,7 +33,7 @@
 
 func rng() *rand.Rand { return rand.New(rand.NewPCG(7, 7)) }
 
-func TestOwnDomainFirst(t *testing.T) {
+func TestLocalDomainIsPreferred(t *testing.T) {
 	g := gomega.NewWithT(t)
 	own, other := instances("a", 3), instances("b", 3)
 	s := snapshot(own, other)
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestSpillsBySpareCapacityNotByACliff loads the own domain step by step.
-func TestSpillsBySpareCapacityNotByACliff(t *testing.T) {
+// The share of spilled requests must grow step by step with the load of the own domain.
+func TestSpilloverGrowsWithUtilisation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	last := -1
 	for busy := 7; busy <= 10; busy++ {
@@ -67,8 +67,7 @@
 	g.Expect(last).To(gomega.Equal(1000))
 }
 
-// TestAllDomainsAreTried: the only instance that takes a request stands in one
-// of several other domains.
+// The only instance that admits requests is in one of several remote domains.
 func TestAllDomainsAreTried(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var others [][]*Instance
@@ -87,7 +86,7 @@
 	}
 }
 
-func TestEjectedIsProbedByOneRequestAndComesBack(t *testing.T) {
+func TestEjectedInstanceIsProbedAndReadmitted(t *testing.T) {
 	g := gomega.NewWithT(t)
 	own := instances("a", 4)
 	s, r := snapshot(own), rng()
@@ -114,7 +113,7 @@
 	g.Expect(picks(1200 * time.Millisecond)).To(gomega.BeNumerically(">", 50))
 }
 
-func TestNotAllAreEjected(t *testing.T) {
+func TestEjectedInstancesAreUsedIfTooManyAreEjected(t *testing.T) {
 	g := gomega.NewWithT(t)
 	own := instances("a", 4)
 	for _, in := range own {
@@ -150,8 +149,8 @@
 	g.Expect(share(3 * time.Second)).To(gomega.BeNumerically(">", young))
 }
 
-// TestPickKeepsItsPromises checks random tables: nothing goes to an instance
-// that drains, that is avoided, or whose level sheds the request.
+// Over random tables, no request goes to an instance that is draining, avoided, or sheds
+// its rank.
 func TestPickKeepsItsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		own := instances("a", rapid.IntRange(0, 4).Draw(t, "own"))
@@ -185,20 +184,20 @@
 	}
 }
 
-func TestSnapshotTellsWhichServicesMayReturn(t *testing.T) {
+func TestServiceMayReturnAfterLosingItsInstances(t *testing.T) {
 	g := gomega.NewWithT(t)
 	with, without := snapshot(instances("a", 1)), &Snapshot{}
 	without.InheritUnavailable(with, 5*time.Second)
 	g.Expect(without.MayReturn("s", 5500*time.Millisecond, time.Second)).To(gomega.BeTrue())
 	later := &Snapshot{}
 	later.InheritUnavailable(without, 5900*time.Millisecond)
-	g.Expect(later.MayReturn("s", 6*time.Second, time.Second)).To(gomega.BeFalse(), "it was lost a second ago")
-	g.Expect(later.MayReturn("other", 6*time.Second, time.Second)).To(gomega.BeFalse(), "it was never there")
+	g.Expect(later.MayReturn("s", 6*time.Second, time.Second)).To(gomega.BeFalse(), "lost more than a second ago")
+	g.Expect(later.MayReturn("other", 6*time.Second, time.Second)).To(gomega.BeFalse(), "unknown service")
 	with.InheritUnavailable(later, 7*time.Second)
-	g.Expect(with.Gone).To(gomega.BeEmpty())
+	g.Expect(with.UnavailableSince).To(gomega.BeEmpty())
 }
 
-func TestSnapshotHasAnInstanceThatTakesRequests(t *testing.T) {
+func TestHasUsableInstance(t *testing.T) {
 	g := gomega.NewWithT(t)
 	own, other := instances("a", 1), instances("b", 1)
 	s := snapshot(own, other)
@@ -208,8 +207,8 @@
 	g.Expect(s.HasUsableInstance("t", "", 0)).To(gomega.BeFalse())
 }
 
-// TestOnlyAllowedInstancesAreChosen: a request that may go to no more backend
-// servers goes to one of those that it has been to, of an earlier snapshot.
+// A request limited to the instances it was sent to before must go to one of them, also
+// if they come from an earlier snapshot.
 func TestOnlyAllowedInstancesAreChosen(t *testing.T) {
 	g := gomega.NewWithT(t)
 	own, other := instances("a", 3), instances("b", 3)
