--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -80,13 +80,13 @@
 	// lastEnds is when the last ends in this failure domain were heard of.
 	lastEnds []time.Duration
 	// described names a request for the marks of which this node has seen one.
-	described map[quarantine.Mark]string
+	described map[quarantine.Fingerprint]string
 	// tidied is when the view was built last.
 	tidied time.Duration
 }
 
 func newQuarantiner(n *Node) *quarantiner {
-	q := &quarantiner{n: n, table: quarantine.New(newRand()), described: map[quarantine.Mark]string{}}
+	q := &quarantiner{n: n, table: quarantine.New(newRand()), described: map[quarantine.Fingerprint]string{}}
 	q.view.Store(q.table.View(0))
 	return q
 }
@@ -106,10 +106,10 @@
 	_, _ = d.Write(c.bodyStart)
 	_, _ = d.Write(c.body)
 	_, _ = d.WriteString(strconv.FormatInt(c.bodyLen, 10))
-	c.marks.Content = quarantine.Mark(d.Sum64())
+	c.marks.Content = quarantine.Fingerprint(d.Sum64())
 	if c.caller != "" {
 		_, _ = d.WriteString(c.caller)
-		c.marks.Caller = quarantine.Mark(d.Sum64())
+		c.marks.Caller = quarantine.Fingerprint(d.Sum64())
 	}
 }
 
@@ -141,7 +141,7 @@
 func (q *quarantiner) release(m quarantine.Marks) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, mark := range []quarantine.Mark{m.Content, m.Caller} {
+	for _, mark := range []quarantine.Fingerprint{m.Content, m.Caller} {
 		if q.table.Ends(mark) > 0 {
 			q.clear(mark)
 			q.tellLater(mark)
@@ -151,7 +151,7 @@
 }
 
 // clear ends the suspicion against a mark. The lock is held.
-func (q *quarantiner) clear(m quarantine.Mark) {
+func (q *quarantiner) clear(m quarantine.Fingerprint) {
 	if q.table.Answered(m) {
 		q.n.event("quarantine", "Requests like "+q.name(m)+" are served again: one was answered.")
 	}
--- a/internal/node/quarantine_ends.go
+++ b/internal/node/quarantine_ends.go
@@ -122,7 +122,7 @@
 	seen := longInWork(requests)
 	seen[0] = true
 	for _, w := range requests[:min(len(requests), endRequests)] {
-		for _, m := range []quarantine.Mark{w.marks.Content, w.marks.Caller} {
+		for _, m := range []quarantine.Fingerprint{w.marks.Content, w.marks.Caller} {
 			if seen[m] || q.answers.Lately(now, m) {
 				continue
 			}
@@ -136,11 +136,11 @@
 
 // longInWork returns the marks that had been in work for long as others of them were
 // taken in: what ends a server does so before.
-func longInWork(requests []inWork) map[quarantine.Mark]bool {
-	oldest, newest := map[quarantine.Mark]time.Time{}, map[quarantine.Mark]time.Time{}
-	count := map[quarantine.Mark]int{}
+func longInWork(requests []inWork) map[quarantine.Fingerprint]bool {
+	oldest, newest := map[quarantine.Fingerprint]time.Time{}, map[quarantine.Fingerprint]time.Time{}
+	count := map[quarantine.Fingerprint]int{}
 	for _, w := range requests {
-		for _, m := range []quarantine.Mark{w.marks.Content, w.marks.Caller} {
+		for _, m := range []quarantine.Fingerprint{w.marks.Content, w.marks.Caller} {
 			if count[m] == 0 || w.began.Before(oldest[m]) {
 				oldest[m] = w.began
 			}
@@ -150,7 +150,7 @@
 			count[m]++
 		}
 	}
-	long := map[quarantine.Mark]bool{}
+	long := map[quarantine.Fingerprint]bool{}
 	for m, n := range count {
 		if n >= manyInWork && newest[m].Sub(oldest[m]) > longSpan {
 			long[m] = true
@@ -159,7 +159,7 @@
 	return long
 }
 
-func (q *quarantiner) describe(m quarantine.Mark, w inWork) {
+func (q *quarantiner) describe(m quarantine.Fingerprint, w inWork) {
 	if len(q.described) >= describedMax {
 		clear(q.described)
 	}
@@ -167,7 +167,7 @@
 }
 
 // name tells which requests a mark is of, as far as this node knows. The lock is held.
-func (q *quarantiner) name(m quarantine.Mark) string {
+func (q *quarantiner) name(m quarantine.Fingerprint) string {
 	text := strconv.FormatUint(uint64(m), 16)
 	if d := q.described[m]; d != "" {
 		text += " (" + d + ")"
--- a/internal/node/quarantine_news.go
+++ b/internal/node/quarantine_news.go
@@ -33,7 +33,7 @@
 	if !q.rememberAnswer(a) {
 		return false
 	}
-	mark := quarantine.Mark(a.Mark)
+	mark := quarantine.Fingerprint(a.Mark)
 	q.answers.Note(q.n.clock(), quarantine.Marks{Content: mark})
 	q.clear(mark)
 	q.rebuild()
@@ -73,7 +73,7 @@
 	now := q.n.clock()
 	end := quarantine.End{Start: id + "/" + strconv.FormatUint(uint64(e.Start), 10), Service: e.Service}
 	for _, m := range e.Marks {
-		end.Marks = append(end.Marks, quarantine.Mark(m))
+		end.Marks = append(end.Marks, quarantine.Fingerprint(m))
 	}
 	held, news := q.table.Ended(now, end)
 	if !news {
@@ -152,7 +152,7 @@
 
 // tellLater tells others that a suspected request was answered, unless another node has
 // told it by then: many nodes see answers to what many callers ask. The lock is held.
-func (q *quarantiner) tellLater(m quarantine.Mark) {
+func (q *quarantiner) tellLater(m quarantine.Fingerprint) {
 	time.AfterFunc(q.share(tellSpread), func() {
 		if !q.tellAnswer(member.Answer{Mark: uint64(m), AtMs: time.Now().UnixMilli()}) {
 			return
--- a/quarantine/mark.go
+++ b/quarantine/mark.go
@@ -6,15 +6,15 @@
 )
 
 // Mark is a hash of what makes requests alike; 0 stands for none.
-type Mark uint64
+type Fingerprint uint64
 
 // Marks are the marks of one request.
 type Marks struct {
 	// Content is of what is asked: address, method, path and body.
-	Content Mark
+	Content Fingerprint
 	// Caller is of the same and who asks, 0 where that is not known. Requests that
 	// only some callers send with an effect on the server show under it alone.
-	Caller Mark
+	Caller Fingerprint
 }
 
 const (
@@ -36,7 +36,7 @@
 }
 
 // slotOf returns the slot of a mark, and the bits of it that the slot keeps.
-func (a *Answers) slotOf(m Mark) (*atomic.Uint64, uint64) {
+func (a *Answers) slotOf(m Fingerprint) (*atomic.Uint64, uint64) {
 	return &a.slots[m%answerSlots], uint64(m) &^ timeMask
 }
 
@@ -46,7 +46,7 @@
 	a.note(now, m.Caller)
 }
 
-func (a *Answers) note(now time.Duration, m Mark) {
+func (a *Answers) note(now time.Duration, m Fingerprint) {
 	if m == 0 {
 		return
 	}
@@ -59,7 +59,7 @@
 }
 
 // Lately tells whether a request with the mark was answered a short time ago.
-func (a *Answers) Lately(now time.Duration, m Mark) bool {
+func (a *Answers) Lately(now time.Duration, m Fingerprint) bool {
 	slot, tag := a.slotOf(m)
 	v := slot.Load()
 	if v == 0 || v&^timeMask != tag {
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -11,11 +11,11 @@
 
 func newTable() *Table { return New(rand.New(rand.NewPCG(1, 2))) }
 
-const poison Mark = 77
+const poison Fingerprint = 77
 
 // end counts the end of the i-th start with the poison and one mark of its own.
 func end(t *Table, now time.Duration, i int) []Held {
-	held, _ := t.Ended(now, End{Start: fmt.Sprint(i), Service: "f/s", Marks: []Mark{poison, Mark(1000 + i)}})
+	held, _ := t.Ended(now, End{Start: fmt.Sprint(i), Service: "f/s", Marks: []Fingerprint{poison, Fingerprint(1000 + i)}})
 	return held
 }
 
@@ -117,7 +117,7 @@
 	g := gomega.NewWithT(t)
 	table := newTable()
 	for i := range 60 {
-		marks := []Mark{Mark(5000 + i)}
+		marks := []Fingerprint{Fingerprint(5000 + i)}
 		if i%6 == 0 {
 			marks = append(marks, poison)
 		}
@@ -127,7 +127,7 @@
 	g.Expect(table.Ends(poison)).To(gomega.Equal(10))
 	// Ends of another service say nothing of it.
 	for i := range 3 {
-		held, _ := table.Ended(time.Minute, End{Start: fmt.Sprint("other", i), Service: "f/t", Marks: []Mark{9}})
+		held, _ := table.Ended(time.Minute, End{Start: fmt.Sprint("other", i), Service: "f/t", Marks: []Fingerprint{9}})
 		g.Expect(held).To(gomega.HaveLen(i / 2))
 	}
 }
@@ -138,7 +138,7 @@
 	table := newTable()
 	held := 0
 	for i := range 18 {
-		h, _ := table.Ended(time.Duration(i)*100*time.Millisecond, End{Start: fmt.Sprint(i), Service: "f/s", Marks: []Mark{Mark(1 + i%3)}})
+		h, _ := table.Ended(time.Duration(i)*100*time.Millisecond, End{Start: fmt.Sprint(i), Service: "f/s", Marks: []Fingerprint{Fingerprint(1 + i%3)}})
 		held += len(h)
 	}
 	g.Expect(held).To(gomega.Equal(3))
@@ -170,9 +170,9 @@
 	}
 	rng := rand.New(rand.NewPCG(3, 4))
 	for i := range 24000 {
-		marks := make([]Mark, 48)
+		marks := make([]Fingerprint, 48)
 		for k := range marks {
-			marks[k] = Mark(1 + rng.Uint64N(20000))
+			marks[k] = Fingerprint(1 + rng.Uint64N(20000))
 		}
 		table.Ended(time.Second, End{Start: "mass-" + fmt.Sprint(i), Service: fmt.Sprint("f/", i%3300), Marks: marks})
 	}
@@ -226,7 +226,7 @@
 	v := table.View(0)
 	var a Answers
 	for i := range b.N {
-		m := Marks{Content: Mark(i) << 20, Caller: Mark(i) << 21}
+		m := Marks{Content: Fingerprint(i) << 20, Caller: Fingerprint(i) << 21}
 		v.Left(0, m)
 		a.Note(time.Duration(i), m)
 	}
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -52,12 +52,12 @@
 	// Service is the service of the backend server.
 	Service string
 	// Marks are of what it had in work.
-	Marks []Mark
+	Marks []Fingerprint
 }
 
 // Held is a mark in quarantine, as one node tells it to another.
 type Held struct {
-	Mark Mark
+	Mark Fingerprint
 	// Ends is how many backend servers ended, and Round counts the quarantines.
 	Ends, Round int
 	// Left is the time until the quarantine is over.
@@ -77,7 +77,7 @@
 	rand *rand.Rand
 	// young and old are the generations of suspects, and hot those that more than one
 	// server has ended under.
-	young, old, hot map[Mark]*suspect
+	young, old, hot map[Fingerprint]*suspect
 	starts          map[string]time.Duration
 	// services holds when the last servers of each service ended.
 	services map[string][]time.Duration
@@ -85,7 +85,7 @@
 
 // New returns an empty table. The source of choices spreads the quarantines' ends.
 func New(r *rand.Rand) *Table {
-	return &Table{rand: r, young: map[Mark]*suspect{}, old: map[Mark]*suspect{}, hot: map[Mark]*suspect{}, starts: map[string]time.Duration{}, services: map[string][]time.Duration{}}
+	return &Table{rand: r, young: map[Fingerprint]*suspect{}, old: map[Fingerprint]*suspect{}, hot: map[Fingerprint]*suspect{}, starts: map[string]time.Duration{}, services: map[string][]time.Duration{}}
 }
 
 // Ended counts the end of a backend server. It returns the marks that are in quarantine
@@ -134,7 +134,7 @@
 }
 
 // count adds an end to a mark; true if a quarantine begins with it.
-func (t *Table) count(now time.Duration, m Mark, service string) bool {
+func (t *Table) count(now time.Duration, m Fingerprint, service string) bool {
 	s := t.suspect(m)
 	if s.ends > 0 && now-s.last > keepFor {
 		*s = suspect{}
@@ -160,7 +160,7 @@
 }
 
 // suspect returns what is known of a mark, in the young generation.
-func (t *Table) suspect(m Mark) *suspect {
+func (t *Table) suspect(m Fingerprint) *suspect {
 	if s := t.young[m]; s != nil {
 		return s
 	}
@@ -172,7 +172,7 @@
 		s = &suspect{}
 	}
 	if len(t.young) >= generation {
-		t.old, t.young = t.young, map[Mark]*suspect{}
+		t.old, t.young = t.young, map[Fingerprint]*suspect{}
 	}
 	t.young[m] = s
 	return s
@@ -180,7 +180,7 @@
 
 // heat puts a mark among the hot ones. Where these are too many the one whose last end
 // is longest ago makes room, unless it is in quarantine.
-func (t *Table) heat(m Mark, s *suspect) {
+func (t *Table) heat(m Fingerprint, s *suspect) {
 	if t.hot[m] == nil && len(t.hot) >= viewMax && !t.cool(s.last) {
 		return
 	}
@@ -188,7 +188,7 @@
 }
 
 func (t *Table) cool(now time.Duration) bool {
-	var oldest Mark
+	var oldest Fingerprint
 	for m, s := range t.hot {
 		if now < s.until {
 			continue
@@ -218,7 +218,7 @@
 
 // Answered takes in that a backend server answered a request with the mark: nothing is
 // held against it any more. It tells whether something was.
-func (t *Table) Answered(m Mark) bool {
+func (t *Table) Answered(m Fingerprint) bool {
 	s, hot := t.hot[m]
 	delete(t.hot, m)
 	delete(t.young, m)
@@ -227,7 +227,7 @@
 }
 
 // Ends returns how many backend servers ended under a mark, 0 for fewer than two.
-func (t *Table) Ends(m Mark) int {
+func (t *Table) Ends(m Fingerprint) int {
 	if s := t.hot[m]; s != nil {
 		return s.ends
 	}
@@ -245,7 +245,7 @@
 	return out
 }
 
-func (t *Table) tell(now time.Duration, m Mark, s *suspect) Held {
+func (t *Table) tell(now time.Duration, m Fingerprint, s *suspect) Held {
 	return Held{Mark: m, Ends: s.ends, Round: s.round, Left: s.until - now}
 }
 
@@ -267,7 +267,7 @@
 
 // View returns what requests are looked up in.
 func (t *Table) View(now time.Duration) *View {
-	v := &View{marks: make(map[Mark]hold, len(t.hot))}
+	v := &View{marks: make(map[Fingerprint]hold, len(t.hot))}
 	for m, s := range t.hot {
 		if now-s.last > keepFor && now >= s.until {
 			delete(t.hot, m)
@@ -285,7 +285,7 @@
 
 // View is the marks under which several backend servers ended. It is immutable.
 type View struct {
-	marks map[Mark]hold
+	marks map[Fingerprint]hold
 }
 
 // Empty tells whether nothing is known of any mark.
