--- a/internal/node/call.go
+++ b/internal/node/call.go
@@ -48,7 +48,7 @@
 	// caller is who asks, where the edge tells, and marks are what the request is
 	// recognised by when backend servers end under it.
 	caller string
-	marks  quarantine.Marks
+	marks  quarantine.Fingerprints
 
 	attempts int
 	// avoid is the instance of the last attempt, lastFailure why it failed, and
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -372,7 +372,7 @@
 	c := &call{
 		id: r.ID, root: r.Root, target: r.Target, rank: r.Rank, depth: r.Depth, repeat: r.Repeat, scope: x.Scope,
 		method: r.Method, path: r.Path, header: r.Header, bodyLen: r.BodyLen, started: time.Now(),
-		marks: quarantine.Marks{Content: quarantine.Fingerprint(r.Content), Caller: quarantine.Fingerprint(r.Caller)},
+		marks: quarantine.Fingerprints{Content: quarantine.Fingerprint(r.Content), Caller: quarantine.Fingerprint(r.Caller)},
 	}
 	c.pool = &budget.Pool{}
 	c.pool.Reset(int(r.Lease))
--- a/internal/node/once.go
+++ b/internal/node/once.go
@@ -183,6 +183,6 @@
 		a.header = append(a.header, wire.Field{Name: "Content-Type", Value: out.ContentType})
 	}
 	// No backend server runs it now, so that it speaks for no request like it.
-	c.marks = quarantine.Marks{}
+	c.marks = quarantine.Fingerprints{}
 	n.deliver(w, c, a)
 }
--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -390,7 +390,7 @@
 	n := startNode(t, "domain-0", nil, nil)
 	q := n.quarantine
 	const mark = 1 << 50
-	c := &call{marks: quarantine.Marks{Content: mark}, policy: &settings.Policy{Quarantine: true}}
+	c := &call{marks: quarantine.Fingerprints{Content: mark}, policy: &settings.Policy{Quarantine: true}}
 	suspect := func(round uint32) {
 		for i := range uint32(quarantine.Ends) {
 			q.heardEnd("other", &member.End{Start: 10*round + i, AtMs: time.Now().UnixMilli(), Service: "f/s", Marks: []uint64{mark}})
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -138,7 +138,7 @@
 	}
 }
 
-func (q *quarantiner) release(m quarantine.Marks) {
+func (q *quarantiner) release(m quarantine.Fingerprints) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, mark := range []quarantine.Fingerprint{m.Content, m.Caller} {
--- a/internal/node/quarantine_ends.go
+++ b/internal/node/quarantine_ends.go
@@ -14,7 +14,7 @@
 // inWork is a request that a backend server had in work.
 type inWork struct {
 	start  uint32
-	marks  quarantine.Marks
+	marks  quarantine.Fingerprints
 	began  time.Time
 	broke  time.Duration
 	target string
--- a/internal/node/quarantine_news.go
+++ b/internal/node/quarantine_news.go
@@ -34,7 +34,7 @@
 		return false
 	}
 	mark := quarantine.Fingerprint(a.Mark)
-	q.answers.Note(q.n.clock(), quarantine.Marks{Content: mark})
+	q.answers.Note(q.n.clock(), quarantine.Fingerprints{Content: mark})
 	q.clear(mark)
 	q.rebuild()
 	return true
--- a/quarantine/mark.go
+++ b/quarantine/mark.go
@@ -9,7 +9,7 @@
 type Fingerprint uint64
 
 // Marks are the marks of one request.
-type Marks struct {
+type Fingerprints struct {
 	// Content is of what is asked: address, method, path and body.
 	Content Fingerprint
 	// Caller is of the same and who asks, 0 where that is not known. Requests that
@@ -41,7 +41,7 @@
 }
 
 // Note takes in that a backend server answered a request.
-func (a *Answers) Note(now time.Duration, m Marks) {
+func (a *Answers) Note(now time.Duration, m Fingerprints) {
 	a.note(now, m.Content)
 	a.note(now, m.Caller)
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -24,15 +24,15 @@
 	table := newTable()
 	g.Expect(end(table, 0, 1)).To(gomega.BeEmpty())
 	g.Expect(end(table, 0, 2)).To(gomega.BeEmpty())
-	g.Expect(table.View(0).Left(0, Marks{Content: poison})).To(gomega.BeZero())
+	g.Expect(table.View(0).Left(0, Fingerprints{Content: poison})).To(gomega.BeZero())
 	held := end(table, time.Second, 3)
 	g.Expect(held).To(gomega.HaveLen(1))
 	g.Expect(held[0].Mark).To(gomega.Equal(poison))
 	v := table.View(time.Second)
-	g.Expect(v.Left(time.Second, Marks{Content: poison})).To(gomega.BeNumerically(">=", firstHold))
-	g.Expect(v.Left(time.Second, Marks{Content: 5, Caller: poison})).To(gomega.BeNumerically(">=", firstHold))
-	g.Expect(v.Left(time.Second, Marks{Content: 1001})).To(gomega.BeZero(), "a request that was in work at one end")
-	g.Expect(v.Left(time.Second, Marks{})).To(gomega.BeZero(), "a request without a mark")
+	g.Expect(v.Left(time.Second, Fingerprints{Content: poison})).To(gomega.BeNumerically(">=", firstHold))
+	g.Expect(v.Left(time.Second, Fingerprints{Content: 5, Caller: poison})).To(gomega.BeNumerically(">=", firstHold))
+	g.Expect(v.Left(time.Second, Fingerprints{Content: 1001})).To(gomega.BeZero(), "a request that was in work at one end")
+	g.Expect(v.Left(time.Second, Fingerprints{})).To(gomega.BeZero(), "a request without a mark")
 }
 
 func TestAnEndIsCountedOnce(t *testing.T) {
@@ -41,7 +41,7 @@
 	for range 10 {
 		end(table, 0, 1)
 	}
-	g.Expect(table.View(0).Ends(Marks{Content: poison})).To(gomega.BeZero())
+	g.Expect(table.View(0).Ends(Fingerprints{Content: poison})).To(gomega.BeZero())
 }
 
 // An end is told again for half a minute, also while very many others are counted.
@@ -66,7 +66,7 @@
 	g.Expect(table.View(0).Empty()).To(gomega.BeTrue())
 	end(table, 0, 10)
 	end(table, 0, 11)
-	g.Expect(table.View(0).Left(0, Marks{Content: poison})).To(gomega.BeZero(), "it begins anew")
+	g.Expect(table.View(0).Left(0, Fingerprints{Content: poison})).To(gomega.BeZero(), "it begins anew")
 }
 
 // A request that ends every server is resent every 150 ms, for two hours, to nodes that
@@ -78,7 +78,7 @@
 	table := newTable()
 	var runs []time.Duration
 	for now := time.Duration(0); now < 2*time.Hour; now += resend {
-		if table.View(now).Left(now, Marks{Content: poison}) == 0 {
+		if table.View(now).Left(now, Fingerprints{Content: poison}) == 0 {
 			runs = append(runs, now)
 			end(table, now, len(runs))
 		}
@@ -151,13 +151,13 @@
 		end(table, 0, i)
 	}
 	longest := firstHold + time.Duration(holdSpread*float64(firstHold))
-	g.Expect(table.View(longest).Left(longest, Marks{Content: poison})).To(gomega.BeZero())
+	g.Expect(table.View(longest).Left(longest, Fingerprints{Content: poison})).To(gomega.BeZero())
 	g.Expect(table.Held(longest)).To(gomega.BeEmpty())
 	later := keepFor + time.Second
 	g.Expect(table.View(later).Empty()).To(gomega.BeTrue())
 	end(table, later, 20)
 	end(table, later, 21)
-	g.Expect(table.View(later).Left(later, Marks{Content: poison})).To(gomega.BeZero(), "it begins anew")
+	g.Expect(table.View(later).Left(later, Fingerprints{Content: poison})).To(gomega.BeZero(), "it begins anew")
 }
 
 // A whole fleet loses power, several times: the memory stays bounded, and a mark in
@@ -184,7 +184,7 @@
 	g.Expect(len(table.old)).To(gomega.BeNumerically("<=", generation))
 	g.Expect(len(table.hot)).To(gomega.BeNumerically("<=", viewMax))
 	g.Expect(len(table.starts)).To(gomega.BeNumerically("<=", startsMax))
-	g.Expect(table.View(time.Second).Left(time.Second, Marks{Content: poison})).NotTo(gomega.BeZero())
+	g.Expect(table.View(time.Second).Left(time.Second, Fingerprints{Content: poison})).NotTo(gomega.BeZero())
 }
 
 func TestAStartedNodeAdoptsWhatOthersHold(t *testing.T) {
@@ -194,18 +194,18 @@
 		end(table, 0, i)
 	}
 	other.Adopt(time.Minute, table.Held(5*time.Second))
-	left := other.View(time.Minute).Left(time.Minute, Marks{Content: poison})
-	g.Expect(left).To(gomega.BeNumerically("~", table.View(0).Left(5*time.Second, Marks{Content: poison}), time.Millisecond))
+	left := other.View(time.Minute).Left(time.Minute, Fingerprints{Content: poison})
+	g.Expect(left).To(gomega.BeNumerically("~", table.View(0).Left(5*time.Second, Fingerprints{Content: poison}), time.Millisecond))
 	g.Expect(end(other, time.Minute+left+time.Second, 50)[0].Round).To(gomega.Equal(2), "the next end is of another try")
 	other.Adopt(0, []Held{{Mark: 9, Round: 1, Left: -time.Second}, {Mark: 0, Round: 1, Left: time.Hour}})
-	g.Expect(other.View(0).Left(0, Marks{Content: 9})).To(gomega.BeZero())
-	g.Expect(other.View(0).Left(0, Marks{})).To(gomega.BeZero())
+	g.Expect(other.View(0).Left(0, Fingerprints{Content: 9})).To(gomega.BeZero())
+	g.Expect(other.View(0).Left(0, Fingerprints{})).To(gomega.BeZero())
 }
 
 func TestAnswersAreRememberedForAWhile(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var a Answers
-	m := Marks{Content: 1 << 40, Caller: 3<<40 + 1}
+	m := Fingerprints{Content: 1 << 40, Caller: 3<<40 + 1}
 	g.Expect(a.Lately(0, m.Content)).To(gomega.BeFalse())
 	for _, now := range []time.Duration{time.Second, 100 * time.Hour} {
 		a.Note(now, m)
@@ -214,7 +214,7 @@
 		g.Expect(a.Lately(now+answerFor, m.Content)).To(gomega.BeFalse())
 		g.Expect(a.Lately(now, 5<<40)).To(gomega.BeFalse(), "another mark of the same slot")
 	}
-	a.Note(0, Marks{Content: 8 << 40})
+	a.Note(0, Fingerprints{Content: 8 << 40})
 	g.Expect(a.Lately(0, 0)).To(gomega.BeFalse())
 }
 
@@ -226,7 +226,7 @@
 	v := table.View(0)
 	var a Answers
 	for i := range b.N {
-		m := Marks{Content: Fingerprint(i) << 20, Caller: Fingerprint(i) << 21}
+		m := Fingerprints{Content: Fingerprint(i) << 20, Caller: Fingerprint(i) << 21}
 		v.Left(0, m)
 		a.Note(time.Duration(i), m)
 	}
