--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -46,7 +46,7 @@
 )
 
 // End is the end of a backend server.
-type End struct {
+type Termination struct {
 	// Start names the start that ended.
 	Start string
 	// Service is the service of the backend server.
@@ -90,7 +90,7 @@
 
 // Ended counts the end of a backend server. It returns the marks that are in quarantine
 // from now on, and false if the end was counted before.
-func (t *Table) Ended(now time.Duration, e End) (held []Held, news bool) {
+func (t *Table) Ended(now time.Duration, e Termination) (held []Held, news bool) {
 	if _, known := t.starts[e.Start]; known || !t.noteStart(now, e) {
 		return nil, false
 	}
@@ -103,7 +103,7 @@
 }
 
 // noteStart remembers an end; false if there is no room for it.
-func (t *Table) noteStart(now time.Duration, e End) bool {
+func (t *Table) noteStart(now time.Duration, e Termination) bool {
 	if len(t.starts) >= startsMax {
 		maps.DeleteFunc(t.starts, func(_ string, at time.Duration) bool { return now-at > startsFor })
 	}
