--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -392,7 +392,7 @@
 	const mark = 1 << 50
 	c := &call{marks: quarantine.Fingerprints{Content: mark}, policy: &settings.Policy{Quarantine: true}}
 	suspect := func(round uint32) {
-		for i := range uint32(quarantine.Ends) {
+		for i := range uint32(quarantine.TerminationThreshold) {
 			q.heardEnd("other", &member.End{Start: 10*round + i, AtMs: time.Now().UnixMilli(), Service: "f/s", Marks: []uint64{mark}})
 		}
 	}
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -59,7 +59,7 @@
 func TestAnAnswerEndsTheSuspicion(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := newTable()
-	for i := range Ends {
+	for i := range TerminationThreshold {
 		end(table, 0, i)
 	}
 	g.Expect(table.Answered(poison)).To(gomega.BeTrue())
@@ -147,7 +147,7 @@
 func TestSuspicionEndsByItself(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := newTable()
-	for i := range Ends {
+	for i := range TerminationThreshold {
 		end(table, 0, i)
 	}
 	longest := firstHold + time.Duration(holdSpread*float64(firstHold))
@@ -165,7 +165,7 @@
 func TestMassEndsAreBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := newTable()
-	for i := range Ends {
+	for i := range TerminationThreshold {
 		end(table, 0, i)
 	}
 	rng := rand.New(rand.NewPCG(3, 4))
@@ -190,7 +190,7 @@
 func TestAStartedNodeAdoptsWhatOthersHold(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table, other := newTable(), newTable()
-	for i := range Ends {
+	for i := range TerminationThreshold {
 		end(table, 0, i)
 	}
 	other.Adopt(time.Minute, table.Held(5*time.Second))
@@ -220,7 +220,7 @@
 
 func BenchmarkLookUp(b *testing.B) {
 	table := newTable()
-	for i := range Ends {
+	for i := range TerminationThreshold {
 		end(table, 0, i)
 	}
 	v := table.View(0)
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -8,14 +8,14 @@
 
 const (
 	// Ends is how many ends of backend servers put a mark in quarantine.
-	Ends = 3
+	TerminationThreshold = 3
 	// causeShare is the least share of the ends in a service, from the mark's first on,
 	// at which the mark may be their cause: one in so many. Where servers are killed all
 	// the time, a healthy request can be in work at three of many ends. A smaller share
 	// does, one in oneOfSeveral, after manyEnds: several requests may end servers in turn.
 	causeShare   = 2
 	oneOfSeveral = 4
-	manyEnds     = 2 * Ends
+	manyEnds     = 2 * TerminationThreshold
 	// firstHold is the length of a first quarantine, holdFactor by how much each
 	// further one is longer, and holdMax its most.
 	firstHold  = 20 * time.Second
@@ -147,7 +147,7 @@
 	if s.ends > 1 {
 		t.heat(m, s)
 	}
-	if t.hot[m] != s || s.ends < Ends || !t.mayCause(s, service) {
+	if t.hot[m] != s || s.ends < TerminationThreshold || !t.mayCause(s, service) {
 		return false
 	}
 	if s.round > 0 && now-s.held < stragglers {
@@ -260,7 +260,7 @@
 		if h.Round <= s.round {
 			continue
 		}
-		*s = suspect{ends: max(h.Ends, Ends), round: h.Round, first: now, last: now, held: now, until: now + min(h.Left, holdMax)}
+		*s = suspect{ends: max(h.Ends, TerminationThreshold), round: h.Round, first: now, last: now, held: now, until: now + min(h.Left, holdMax)}
 		t.heat(h.Mark, s)
 	}
 }
