--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -41,7 +41,7 @@
 	Config  uint64
 	// Held are the requests that the answering node refuses, for a node that has
 	// just started.
-	Held []quarantine.Held
+	Held []quarantine.QuarantinedRequest
 }
 
 // FetchRequest asks for the settings after a version.
--- a/internal/node/quarantine_news.go
+++ b/internal/node/quarantine_news.go
@@ -91,8 +91,8 @@
 }
 
 // sayHeld tells which requests are refused from now on. The lock is held.
-func (q *quarantiner) sayHeld(held []quarantine.Held) {
-	held = slices.DeleteFunc(held, func(h quarantine.Held) bool { return q.table.Ends(h.Mark) == 0 })
+func (q *quarantiner) sayHeld(held []quarantine.QuarantinedRequest) {
+	held = slices.DeleteFunc(held, func(h quarantine.QuarantinedRequest) bool { return q.table.Ends(h.Mark) == 0 })
 	if len(held) == 0 {
 		return
 	}
@@ -130,7 +130,7 @@
 }
 
 // heldNow returns what this node refuses.
-func (q *quarantiner) heldNow() []quarantine.Held {
+func (q *quarantiner) heldNow() []quarantine.QuarantinedRequest {
 	if q.view.Load().Empty() {
 		return nil
 	}
@@ -140,7 +140,7 @@
 }
 
 // adopt takes over what another node refuses.
-func (q *quarantiner) adopt(held []quarantine.Held) {
+func (q *quarantiner) adopt(held []quarantine.QuarantinedRequest) {
 	if len(held) == 0 {
 		return
 	}
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -14,7 +14,7 @@
 const poison Fingerprint = 77
 
 // end counts the end of the i-th start with the poison and one mark of its own.
-func end(t *Table, now time.Duration, i int) []Held {
+func end(t *Table, now time.Duration, i int) []QuarantinedRequest {
 	held, _ := t.Ended(now, Termination{Start: fmt.Sprint(i), Service: "f/s", Marks: []Fingerprint{poison, Fingerprint(1000 + i)}})
 	return held
 }
@@ -197,7 +197,7 @@
 	left := other.View(time.Minute).Left(time.Minute, Fingerprints{Content: poison})
 	g.Expect(left).To(gomega.BeNumerically("~", table.View(0).Left(5*time.Second, Fingerprints{Content: poison}), time.Millisecond))
 	g.Expect(end(other, time.Minute+left+time.Second, 50)[0].Round).To(gomega.Equal(2), "the next end is of another try")
-	other.Adopt(0, []Held{{Mark: 9, Round: 1, Left: -time.Second}, {Mark: 0, Round: 1, Left: time.Hour}})
+	other.Adopt(0, []QuarantinedRequest{{Mark: 9, Round: 1, Left: -time.Second}, {Mark: 0, Round: 1, Left: time.Hour}})
 	g.Expect(other.View(0).Left(0, Fingerprints{Content: 9})).To(gomega.BeZero())
 	g.Expect(other.View(0).Left(0, Fingerprints{})).To(gomega.BeZero())
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -56,7 +56,7 @@
 }
 
 // Held is a mark in quarantine, as one node tells it to another.
-type Held struct {
+type QuarantinedRequest struct {
 	Mark Fingerprint
 	// Ends is how many backend servers ended, and Round counts the quarantines.
 	Ends, Round int
@@ -90,7 +90,7 @@
 
 // Ended counts the end of a backend server. It returns the marks that are in quarantine
 // from now on, and false if the end was counted before.
-func (t *Table) Ended(now time.Duration, e Termination) (held []Held, news bool) {
+func (t *Table) Ended(now time.Duration, e Termination) (held []QuarantinedRequest, news bool) {
 	if _, known := t.starts[e.Start]; known || !t.noteStart(now, e) {
 		return nil, false
 	}
@@ -235,8 +235,8 @@
 }
 
 // Held returns the marks in quarantine.
-func (t *Table) Held(now time.Duration) []Held {
-	var out []Held
+func (t *Table) Held(now time.Duration) []QuarantinedRequest {
+	var out []QuarantinedRequest
 	for m, s := range t.hot {
 		if now < s.until {
 			out = append(out, t.tell(now, m, s))
@@ -245,13 +245,13 @@
 	return out
 }
 
-func (t *Table) tell(now time.Duration, m Fingerprint, s *suspect) Held {
-	return Held{Mark: m, Ends: s.ends, Round: s.round, Left: s.until - now}
+func (t *Table) tell(now time.Duration, m Fingerprint, s *suspect) QuarantinedRequest {
+	return QuarantinedRequest{Mark: m, Ends: s.ends, Round: s.round, Left: s.until - now}
 }
 
 // Adopt takes over what another node holds in quarantine, for a node that has just
 // started.
-func (t *Table) Adopt(now time.Duration, held []Held) {
+func (t *Table) Adopt(now time.Duration, held []QuarantinedRequest) {
 	for _, h := range held {
 		if h.Mark == 0 || h.Left <= 0 {
 			continue
