--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -60,7 +60,7 @@
 type quarantiner struct {
 	n       *Node
 	view    atomic.Pointer[quarantine.View]
-	answers quarantine.Answers
+	answers quarantine.RecentAnswers
 
 	mu    sync.Mutex
 	table *quarantine.Table
--- a/quarantine/mark.go
+++ b/quarantine/mark.go
@@ -31,22 +31,22 @@
 
 // Answers remembers which marks were answered lately. It is safe for concurrent use and
 // takes no lock: each mark has one slot, and a later one overwrites it.
-type Answers struct {
+type RecentAnswers struct {
 	slots [answerSlots]atomic.Uint64
 }
 
 // slotOf returns the slot of a mark, and the bits of it that the slot keeps.
-func (a *Answers) slotOf(m Fingerprint) (*atomic.Uint64, uint64) {
+func (a *RecentAnswers) slotOf(m Fingerprint) (*atomic.Uint64, uint64) {
 	return &a.slots[m%answerSlots], uint64(m) &^ timeMask
 }
 
 // Note takes in that a backend server answered a request.
-func (a *Answers) Note(now time.Duration, m Fingerprints) {
+func (a *RecentAnswers) Note(now time.Duration, m Fingerprints) {
 	a.note(now, m.Content)
 	a.note(now, m.Caller)
 }
 
-func (a *Answers) note(now time.Duration, m Fingerprint) {
+func (a *RecentAnswers) note(now time.Duration, m Fingerprint) {
 	if m == 0 {
 		return
 	}
@@ -59,7 +59,7 @@
 }
 
 // Lately tells whether a request with the mark was answered a short time ago.
-func (a *Answers) Lately(now time.Duration, m Fingerprint) bool {
+func (a *RecentAnswers) Lately(now time.Duration, m Fingerprint) bool {
 	slot, tag := a.slotOf(m)
 	v := slot.Load()
 	if v == 0 || v&^timeMask != tag {
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -204,7 +204,7 @@
 
 func TestAnswersAreRememberedForAWhile(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var a Answers
+	var a RecentAnswers
 	m := Fingerprints{Content: 1 << 40, Caller: 3<<40 + 1}
 	g.Expect(a.Lately(0, m.Content)).To(gomega.BeFalse())
 	for _, now := range []time.Duration{time.Second, 100 * time.Hour} {
@@ -224,7 +224,7 @@
 		end(table, 0, i)
 	}
 	v := table.View(0)
-	var a Answers
+	var a RecentAnswers
 	for i := range b.N {
 		m := Fingerprints{Content: Fingerprint(i) << 20, Caller: Fingerprint(i) << 21}
 		v.Left(0, m)
