--- a/internal/node/quarantine_ends.go
+++ b/internal/node/quarantine_ends.go
@@ -123,7 +123,7 @@
 	seen[0] = true
 	for _, w := range requests[:min(len(requests), endRequests)] {
 		for _, m := range []quarantine.Fingerprint{w.marks.Content, w.marks.Caller} {
-			if seen[m] || q.answers.Lately(now, m) {
+			if seen[m] || q.answers.AnsweredRecently(now, m) {
 				continue
 			}
 			seen[m] = true
--- a/internal/node/quarantine_news.go
+++ b/internal/node/quarantine_news.go
@@ -80,7 +80,7 @@
 		return false
 	}
 	for _, m := range end.Marks {
-		if q.table.Ends(m) > 0 && q.answers.Lately(now, m) {
+		if q.table.Ends(m) > 0 && q.answers.AnsweredRecently(now, m) {
 			q.clear(m)
 			q.tellLater(m)
 		}
--- a/quarantine/mark.go
+++ b/quarantine/mark.go
@@ -59,7 +59,7 @@
 }
 
 // Lately tells whether a request with the mark was answered a short time ago.
-func (a *RecentAnswers) Lately(now time.Duration, m Fingerprint) bool {
+func (a *RecentAnswers) AnsweredRecently(now time.Duration, m Fingerprint) bool {
 	slot, tag := a.slotOf(m)
 	v := slot.Load()
 	if v == 0 || v&^timeMask != tag {
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -206,16 +206,16 @@
 	g := gomega.NewWithT(t)
 	var a RecentAnswers
 	m := Fingerprints{Content: 1 << 40, Caller: 3<<40 + 1}
-	g.Expect(a.Lately(0, m.Content)).To(gomega.BeFalse())
+	g.Expect(a.AnsweredRecently(0, m.Content)).To(gomega.BeFalse())
 	for _, now := range []time.Duration{time.Second, 100 * time.Hour} {
 		a.Note(now, m)
-		g.Expect(a.Lately(now, m.Content)).To(gomega.BeTrue())
-		g.Expect(a.Lately(now+answerFor/2, m.Caller)).To(gomega.BeTrue())
-		g.Expect(a.Lately(now+answerFor, m.Content)).To(gomega.BeFalse())
-		g.Expect(a.Lately(now, 5<<40)).To(gomega.BeFalse(), "another mark of the same slot")
+		g.Expect(a.AnsweredRecently(now, m.Content)).To(gomega.BeTrue())
+		g.Expect(a.AnsweredRecently(now+answerFor/2, m.Caller)).To(gomega.BeTrue())
+		g.Expect(a.AnsweredRecently(now+answerFor, m.Content)).To(gomega.BeFalse())
+		g.Expect(a.AnsweredRecently(now, 5<<40)).To(gomega.BeFalse(), "another mark of the same slot")
 	}
 	a.Note(0, Fingerprints{Content: 8 << 40})
-	g.Expect(a.Lately(0, 0)).To(gomega.BeFalse())
+	g.Expect(a.AnsweredRecently(0, 0)).To(gomega.BeFalse())
 }
 
 func BenchmarkLookUp(b *testing.B) {
