--- a/internal/node/quarantine_news.go
+++ b/internal/node/quarantine_news.go
@@ -75,7 +75,7 @@
 	for _, m := range e.Marks {
 		end.Marks = append(end.Marks, quarantine.Fingerprint(m))
 	}
-	held, news := q.table.Ended(now, end)
+	held, news := q.table.RecordTermination(now, end)
 	if !news {
 		return false
 	}
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -15,7 +15,7 @@
 
 // end counts the end of the i-th start with the poison and one mark of its own.
 func end(t *Table, now time.Duration, i int) []QuarantinedRequest {
-	held, _ := t.Ended(now, Termination{Start: fmt.Sprint(i), Service: "f/s", Marks: []Fingerprint{poison, Fingerprint(1000 + i)}})
+	held, _ := t.RecordTermination(now, Termination{Start: fmt.Sprint(i), Service: "f/s", Marks: []Fingerprint{poison, Fingerprint(1000 + i)}})
 	return held
 }
 
@@ -50,7 +50,7 @@
 	table := newTable()
 	for i := range 3 * startsMax {
 		now := time.Duration(i) * 30 * time.Second / (3 * startsMax)
-		table.Ended(now, Termination{Start: fmt.Sprint("other-", i), Service: "f/t"})
+		table.RecordTermination(now, Termination{Start: fmt.Sprint("other-", i), Service: "f/t"})
 		end(table, now, 1)
 	}
 	g.Expect(table.Ends(poison)).To(gomega.BeZero())
@@ -121,13 +121,13 @@
 		if i%6 == 0 {
 			marks = append(marks, poison)
 		}
-		held, _ := table.Ended(time.Duration(i)*100*time.Millisecond, Termination{Start: fmt.Sprint(i), Service: "f/s", Marks: marks})
+		held, _ := table.RecordTermination(time.Duration(i)*100*time.Millisecond, Termination{Start: fmt.Sprint(i), Service: "f/s", Marks: marks})
 		g.Expect(held).To(gomega.BeEmpty())
 	}
 	g.Expect(table.Ends(poison)).To(gomega.Equal(10))
 	// Ends of another service say nothing of it.
 	for i := range 3 {
-		held, _ := table.Ended(time.Minute, Termination{Start: fmt.Sprint("other", i), Service: "f/t", Marks: []Fingerprint{9}})
+		held, _ := table.RecordTermination(time.Minute, Termination{Start: fmt.Sprint("other", i), Service: "f/t", Marks: []Fingerprint{9}})
 		g.Expect(held).To(gomega.HaveLen(i / 2))
 	}
 }
@@ -138,7 +138,7 @@
 	table := newTable()
 	held := 0
 	for i := range 18 {
-		h, _ := table.Ended(time.Duration(i)*100*time.Millisecond, Termination{Start: fmt.Sprint(i), Service: "f/s", Marks: []Fingerprint{Fingerprint(1 + i%3)}})
+		h, _ := table.RecordTermination(time.Duration(i)*100*time.Millisecond, Termination{Start: fmt.Sprint(i), Service: "f/s", Marks: []Fingerprint{Fingerprint(1 + i%3)}})
 		held += len(h)
 	}
 	g.Expect(held).To(gomega.Equal(3))
@@ -174,7 +174,7 @@
 		for k := range marks {
 			marks[k] = Fingerprint(1 + rng.Uint64N(20000))
 		}
-		table.Ended(time.Second, Termination{Start: "mass-" + fmt.Sprint(i), Service: fmt.Sprint("f/", i%3300), Marks: marks})
+		table.RecordTermination(time.Second, Termination{Start: "mass-" + fmt.Sprint(i), Service: fmt.Sprint("f/", i%3300), Marks: marks})
 	}
 	g.Expect(len(table.services)).To(gomega.BeNumerically("<=", servicesMax))
 	for _, ends := range table.services {
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -90,7 +90,7 @@
 
 // Ended counts the end of a backend server. It returns the marks that are in quarantine
 // from now on, and false if the end was counted before.
-func (t *Table) Ended(now time.Duration, e Termination) (held []QuarantinedRequest, news bool) {
+func (t *Table) RecordTermination(now time.Duration, e Termination) (held []QuarantinedRequest, news bool) {
 	if _, known := t.starts[e.Start]; known || !t.noteStart(now, e) {
 		return nil, false
 	}
