--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -152,7 +152,7 @@
 
 // clear ends the suspicion against a mark. The lock is held.
 func (q *quarantiner) clear(m quarantine.Fingerprint) {
-	if q.table.Answered(m) {
+	if q.table.RecordAnswer(m) {
 		q.n.event("quarantine", "Requests like "+q.name(m)+" are served again: one was answered.")
 	}
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -62,7 +62,7 @@
 	for i := range TerminationThreshold {
 		end(table, 0, i)
 	}
-	g.Expect(table.Answered(poison)).To(gomega.BeTrue())
+	g.Expect(table.RecordAnswer(poison)).To(gomega.BeTrue())
 	g.Expect(table.View(0).Empty()).To(gomega.BeTrue())
 	end(table, 0, 10)
 	end(table, 0, 11)
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -218,7 +218,7 @@
 
 // Answered takes in that a backend server answered a request with the mark: nothing is
 // held against it any more. It tells whether something was.
-func (t *Table) Answered(m Fingerprint) bool {
+func (t *Table) RecordAnswer(m Fingerprint) bool {
 	s, hot := t.hot[m]
 	delete(t.hot, m)
 	delete(t.young, m)
