--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -142,7 +142,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, mark := range []quarantine.Fingerprint{m.Content, m.Caller} {
-		if q.table.Ends(mark) > 0 {
+		if q.table.Terminations(mark) > 0 {
 			q.clear(mark)
 			q.tellLater(mark)
 		}
--- a/internal/node/quarantine_news.go
+++ b/internal/node/quarantine_news.go
@@ -80,7 +80,7 @@
 		return false
 	}
 	for _, m := range end.Marks {
-		if q.table.Ends(m) > 0 && q.answers.AnsweredRecently(now, m) {
+		if q.table.Terminations(m) > 0 && q.answers.AnsweredRecently(now, m) {
 			q.clear(m)
 			q.tellLater(m)
 		}
@@ -92,7 +92,7 @@
 
 // sayHeld tells which requests are refused from now on. The lock is held.
 func (q *quarantiner) sayHeld(held []quarantine.QuarantinedRequest) {
-	held = slices.DeleteFunc(held, func(h quarantine.QuarantinedRequest) bool { return q.table.Ends(h.Mark) == 0 })
+	held = slices.DeleteFunc(held, func(h quarantine.QuarantinedRequest) bool { return q.table.Terminations(h.Mark) == 0 })
 	if len(held) == 0 {
 		return
 	}
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -53,7 +53,7 @@
 		table.RecordTermination(now, Termination{Start: fmt.Sprint("other-", i), Service: "f/t"})
 		end(table, now, 1)
 	}
-	g.Expect(table.Ends(poison)).To(gomega.BeZero())
+	g.Expect(table.Terminations(poison)).To(gomega.BeZero())
 }
 
 func TestAnAnswerEndsTheSuspicion(t *testing.T) {
@@ -124,7 +124,7 @@
 		held, _ := table.RecordTermination(time.Duration(i)*100*time.Millisecond, Termination{Start: fmt.Sprint(i), Service: "f/s", Marks: marks})
 		g.Expect(held).To(gomega.BeEmpty())
 	}
-	g.Expect(table.Ends(poison)).To(gomega.Equal(10))
+	g.Expect(table.Terminations(poison)).To(gomega.Equal(10))
 	// Ends of another service say nothing of it.
 	for i := range 3 {
 		held, _ := table.RecordTermination(time.Minute, Termination{Start: fmt.Sprint("other", i), Service: "f/t", Marks: []Fingerprint{9}})
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -227,7 +227,7 @@
 }
 
 // Ends returns how many backend servers ended under a mark, 0 for fewer than two.
-func (t *Table) Ends(m Fingerprint) int {
+func (t *Table) Terminations(m Fingerprint) int {
 	if s := t.hot[m]; s != nil {
 		return s.ends
 	}
