--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -123,12 +123,12 @@
 	if left == 0 {
 		return nil
 	}
-	return fault.Newf(fault.Quarantined, "%d backend servers ended while they ran requests like this one", v.Ends(c.marks)).After(left)
+	return fault.Newf(fault.Quarantined, "%d backend servers ended while they ran requests like this one", v.Terminations(c.marks)).After(left)
 }
 
 // ends returns how many backend servers ended under requests like the call, 0 for fewer
 // than two.
-func (q *quarantiner) ends(c *call) int { return q.view.Load().Ends(c.marks) }
+func (q *quarantiner) ends(c *call) int { return q.view.Load().Terminations(c.marks) }
 
 // answered takes in that a backend server answered the call to the end.
 func (q *quarantiner) answered(c *call) {
--- a/internal/node/quarantine_ends.go
+++ b/internal/node/quarantine_ends.go
@@ -110,7 +110,7 @@
 	})
 	v := q.view.Load()
 	slices.SortFunc(out, func(a, b inWork) int {
-		return cmp.Or(cmp.Compare(v.Ends(b.marks), v.Ends(a.marks)), b.began.Compare(a.began))
+		return cmp.Or(cmp.Compare(v.Terminations(b.marks), v.Terminations(a.marks)), b.began.Compare(a.began))
 	})
 	return out
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -41,7 +41,7 @@
 	for range 10 {
 		end(table, 0, 1)
 	}
-	g.Expect(table.View(0).Ends(Fingerprints{Content: poison})).To(gomega.BeZero())
+	g.Expect(table.View(0).Terminations(Fingerprints{Content: poison})).To(gomega.BeZero())
 }
 
 // An end is told again for half a minute, also while very many others are counted.
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -292,10 +292,12 @@
 func (v *View) Empty() bool { return len(v.marks) == 0 }
 
 // Knows tells whether several backend servers ended under one of the marks.
-func (v *View) Knows(m Fingerprints) bool { return v.Ends(m) > 0 }
+func (v *View) Knows(m Fingerprints) bool { return v.Terminations(m) > 0 }
 
 // Ends returns how many backend servers ended under the marks, 0 for fewer than two.
-func (v *View) Ends(m Fingerprints) int { return max(v.marks[m.Content].ends, v.marks[m.Caller].ends) }
+func (v *View) Terminations(m Fingerprints) int {
+	return max(v.marks[m.Content].ends, v.marks[m.Caller].ends)
+}
 
 // Left returns for how long requests with the marks are refused; 0 if they are not.
 func (v *View) Left(now time.Duration, m Fingerprints) time.Duration {
