--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -133,7 +133,7 @@
 // answered takes in that a backend server answered the call to the end.
 func (q *quarantiner) answered(c *call) {
 	q.answers.Note(q.n.clock(), c.marks)
-	if v := q.view.Load(); !v.Empty() && v.Knows(c.marks) {
+	if v := q.view.Load(); !v.Empty() && v.IsSuspect(c.marks) {
 		q.release(c.marks)
 	}
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -292,7 +292,7 @@
 func (v *View) Empty() bool { return len(v.marks) == 0 }
 
 // Knows tells whether several backend servers ended under one of the marks.
-func (v *View) Knows(m Fingerprints) bool { return v.Terminations(m) > 0 }
+func (v *View) IsSuspect(m Fingerprints) bool { return v.Terminations(m) > 0 }
 
 // Ends returns how many backend servers ended under the marks, 0 for fewer than two.
 func (v *View) Terminations(m Fingerprints) int {
