--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,18 +1,18 @@
-// Package quarantine decides which requests are refused because they end the backend
-// servers that run them (a "query of death").
+// Package quarantine decides which requests to refuse because they terminate the backend
+// servers that run them ("queries of death"). Such a request, resent by its caller and
+// retried by the nodes, would take down a service server by server, together with the
+// healthy requests that those servers had in flight.
 //
-// The load that it answers: one request that makes its backend server exit, sent again
-// by its caller and by the nodes, takes a service away server by server, and with each
-// server the healthy requests that it had in work.
+// Each termination of a backend server is recorded with the fingerprints of the requests
+// that it had in flight. A fingerprint found at several terminations, and at a large
+// enough share of all terminations in the service meanwhile, is quarantined: requests
+// with it are refused for some time. Then one may run again; each further termination
+// lengthens the quarantine.
 //
-// Each end of a backend server brings the marks of the requests that it had in work. A
-// mark that is among those of several ends, and of a good share of all that ended in the
-// service meanwhile, is refused for a while. Then one request may be run again; each
-// further end lengthens the time.
+// Healthy requests that happened to be in flight at several terminations are recognised
+// by their answers, since a request that terminates every server is never answered. One
+// answer clears the fingerprint.
 //
-// Healthy requests that were in work at several ends are told apart by their answers: a
-// request that ends every server never has one. One answer clears what is like it.
-//
-// The package is pure: ends, answers and times go in, a View of what is refused comes
-// out. Its memory is bounded, whatever ends.
+// The package does no I/O and reads no clock: terminations, answers and times are passed
+// in, and a View of the refused requests is returned. Its memory is bounded.
 package quarantine
--- a/quarantine/mark.go
+++ b/quarantine/mark.go
@@ -5,66 +5,71 @@
 	"time"
 )
 
-// Mark is a hash of what makes requests alike; 0 stands for none.
+// Fingerprint is a hash that requests of the same kind share; 0 means none.
 type Fingerprint uint64
 
-// Marks are the marks of one request.
+// Fingerprints holds the fingerprints of one request.
 type Fingerprints struct {
-	// Content is of what is asked: address, method, path and body.
+	// Content is a hash of the address, method, path and body.
 	Content Fingerprint
-	// Caller is of the same and who asks, 0 where that is not known. Requests that
-	// only some callers send with an effect on the server show under it alone.
+	// Caller is a hash of the same and the caller, 0 if the caller is unknown. It detects
+	// requests that terminate servers only when certain callers send them.
 	Caller Fingerprint
 }
 
 const (
-	// answerSlots is how many marks an Answers holds, a power of two.
-	answerSlots = 4096
-	// answerFor is how long an answer speaks for the requests like it.
-	answerFor = 10 * time.Second
-	// answerUnit is the resolution of the times in an Answers.
-	answerUnit = 100 * time.Millisecond
-	// timeBits of each slot are the time, the others are the mark's.
+	// recentAnswerSlots is the number of slots of a RecentAnswers, a power of two.
+	recentAnswerSlots = 4096
+	// answerLifetime is how long an answer vouches for requests with the same
+	// fingerprint.
+	answerLifetime = 10 * time.Second
+	// answerTimeResolution is the resolution of the times in a RecentAnswers.
+	answerTimeResolution = 100 * time.Millisecond
+	// timeBits is the number of bits of each slot that hold the time; the other bits hold
+	// the fingerprint.
 	timeBits = 24
 	timeMask = 1<<timeBits - 1
 )
 
-// Answers remembers which marks were answered lately. It is safe for concurrent use and
-// takes no lock: each mark has one slot, and a later one overwrites it.
+// RecentAnswers remembers which fingerprints were answered recently. It is safe for
+// concurrent use and takes no lock. Each fingerprint has one slot, which a later
+// fingerprint overwrites.
 type RecentAnswers struct {
-	slots [answerSlots]atomic.Uint64
+	slots [recentAnswerSlots]atomic.Uint64
 }
 
-// slotOf returns the slot of a mark, and the bits of it that the slot keeps.
-func (a *RecentAnswers) slotOf(m Fingerprint) (*atomic.Uint64, uint64) {
-	return &a.slots[m%answerSlots], uint64(m) &^ timeMask
+// slotAndTag returns the slot of a fingerprint, and the bits of the fingerprint stored in
+// it.
+func (a *RecentAnswers) slotAndTag(m Fingerprint) (*atomic.Uint64, uint64) {
+	return &a.slots[m%recentAnswerSlots], uint64(m) &^ timeMask
 }
 
-// Note takes in that a backend server answered a request.
+// Note records that a backend server answered a request.
 func (a *RecentAnswers) Note(now time.Duration, m Fingerprints) {
-	a.note(now, m.Content)
-	a.note(now, m.Caller)
+	a.recordFingerprint(now, m.Content)
+	a.recordFingerprint(now, m.Caller)
 }
 
-func (a *RecentAnswers) note(now time.Duration, m Fingerprint) {
+func (a *RecentAnswers) recordFingerprint(now time.Duration, m Fingerprint) {
 	if m == 0 {
 		return
 	}
-	slot, tag := a.slotOf(m)
-	next := tag | uint64(now/answerUnit)&timeMask
-	// A plain load is cheaper than a store that other cores have to see.
+	slot, tag := a.slotAndTag(m)
+	next := tag | uint64(now/answerTimeResolution)&timeMask
+	// Loading first avoids a store that would invalidate the other cores' caches.
 	if slot.Load() != next {
 		slot.Store(next)
 	}
 }
 
-// Lately tells whether a request with the mark was answered a short time ago.
+// AnsweredRecently reports whether a request with the fingerprint was answered within
+// answerLifetime.
 func (a *RecentAnswers) AnsweredRecently(now time.Duration, m Fingerprint) bool {
-	slot, tag := a.slotOf(m)
+	slot, tag := a.slotAndTag(m)
 	v := slot.Load()
 	if v == 0 || v&^timeMask != tag {
 		return false
 	}
-	ago := (uint64(now/answerUnit) - v) & timeMask
-	return time.Duration(ago)*answerUnit < answerFor
+	ago := (uint64(now/answerTimeResolution) - v) & timeMask
+	return time.Duration(ago)*answerTimeResolution < answerLifetime
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -13,66 +13,68 @@
 
 const poison Fingerprint = 77
 
-// end counts the end of the i-th start with the poison and one mark of its own.
-func end(t *Table, now time.Duration, i int) []QuarantinedRequest {
+// recordPoisonTermination records the termination of the i-th start, with the poison and
+// one fingerprint of its own in flight.
+func recordPoisonTermination(t *Table, now time.Duration, i int) []QuarantinedRequest {
 	held, _ := t.RecordTermination(now, Termination{Start: fmt.Sprint(i), Service: "f/s", Marks: []Fingerprint{poison, Fingerprint(1000 + i)}})
 	return held
 }
 
-func TestMarkIsHeldAtTheThirdEnd(t *testing.T) {
+func TestThirdTerminationStartsQuarantine(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := newTable()
-	g.Expect(end(table, 0, 1)).To(gomega.BeEmpty())
-	g.Expect(end(table, 0, 2)).To(gomega.BeEmpty())
+	g.Expect(recordPoisonTermination(table, 0, 1)).To(gomega.BeEmpty())
+	g.Expect(recordPoisonTermination(table, 0, 2)).To(gomega.BeEmpty())
 	g.Expect(table.View(0).Left(0, Fingerprints{Content: poison})).To(gomega.BeZero())
-	held := end(table, time.Second, 3)
+	held := recordPoisonTermination(table, time.Second, 3)
 	g.Expect(held).To(gomega.HaveLen(1))
 	g.Expect(held[0].Mark).To(gomega.Equal(poison))
 	v := table.View(time.Second)
-	g.Expect(v.Left(time.Second, Fingerprints{Content: poison})).To(gomega.BeNumerically(">=", firstHold))
-	g.Expect(v.Left(time.Second, Fingerprints{Content: 5, Caller: poison})).To(gomega.BeNumerically(">=", firstHold))
-	g.Expect(v.Left(time.Second, Fingerprints{Content: 1001})).To(gomega.BeZero(), "a request that was in work at one end")
-	g.Expect(v.Left(time.Second, Fingerprints{})).To(gomega.BeZero(), "a request without a mark")
+	g.Expect(v.Left(time.Second, Fingerprints{Content: poison})).To(gomega.BeNumerically(">=", initialQuarantine))
+	g.Expect(v.Left(time.Second, Fingerprints{Content: 5, Caller: poison})).To(gomega.BeNumerically(">=", initialQuarantine))
+	g.Expect(v.Left(time.Second, Fingerprints{Content: 1001})).To(gomega.BeZero(), "a request in flight at one termination")
+	g.Expect(v.Left(time.Second, Fingerprints{})).To(gomega.BeZero(), "a request without fingerprints")
 }
 
-func TestAnEndIsCountedOnce(t *testing.T) {
+func TestTerminationIsCountedOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := newTable()
 	for range 10 {
-		end(table, 0, 1)
+		recordPoisonTermination(table, 0, 1)
 	}
 	g.Expect(table.View(0).Terminations(Fingerprints{Content: poison})).To(gomega.BeZero())
 }
 
-// An end is told again for half a minute, also while very many others are counted.
+// Terminations are reported repeatedly; a repeated report must not be counted, even among
+// many terminations of other servers.
 func TestAnEndToldAgainAmongManyIsCountedOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := newTable()
-	for i := range 3 * startsMax {
-		now := time.Duration(i) * 30 * time.Second / (3 * startsMax)
+	for i := range 3 * maxTerminatedStarts {
+		now := time.Duration(i) * 30 * time.Second / (3 * maxTerminatedStarts)
 		table.RecordTermination(now, Termination{Start: fmt.Sprint("other-", i), Service: "f/t"})
-		end(table, now, 1)
+		recordPoisonTermination(table, now, 1)
 	}
 	g.Expect(table.Terminations(poison)).To(gomega.BeZero())
 }
 
-func TestAnAnswerEndsTheSuspicion(t *testing.T) {
+func TestAnswerClearsSuspicion(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := newTable()
 	for i := range TerminationThreshold {
-		end(table, 0, i)
+		recordPoisonTermination(table, 0, i)
 	}
 	g.Expect(table.RecordAnswer(poison)).To(gomega.BeTrue())
 	g.Expect(table.View(0).Empty()).To(gomega.BeTrue())
-	end(table, 0, 10)
-	end(table, 0, 11)
-	g.Expect(table.View(0).Left(0, Fingerprints{Content: poison})).To(gomega.BeZero(), "it begins anew")
+	recordPoisonTermination(table, 0, 10)
+	recordPoisonTermination(table, 0, 11)
+	g.Expect(table.View(0).Left(0, Fingerprints{Content: poison})).To(gomega.BeZero(), "counting starts afresh")
 }
 
-// A request that ends every server is resent every 150 ms, for two hours, to nodes that
-// share what they know: runs within the first seconds aside, it may be run once for each
-// quarantine, and each is longer than the one before.
-func TestEachFurtherEndLengthensTheQuarantine(t *testing.T) {
+// A request that terminates every server and is resent all the time must run at most once
+// for each quarantine after the first terminations, and the quarantines must grow up to
+// the maximum.
+func TestFurtherTerminationLengthensQuarantine(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const resend = 150 * time.Millisecond
 	table := newTable()
@@ -80,7 +82,7 @@
 	for now := time.Duration(0); now < 2*time.Hour; now += resend {
 		if table.View(now).Left(now, Fingerprints{Content: poison}) == 0 {
 			runs = append(runs, now)
-			end(table, now, len(runs))
+			recordPoisonTermination(table, now, len(runs))
 		}
 	}
 	g.Expect(runs[2]).To(gomega.BeNumerically("<", time.Second))
@@ -93,17 +95,17 @@
 	g.Expect(first5).To(gomega.BeNumerically("<=", 2))
 	g.Expect(len(runs)).To(gomega.BeNumerically("<=", 13))
 	for i := 5; i < len(runs); i++ {
-		g.Expect(runs[i] - runs[i-1]).To(gomega.BeNumerically("<=", holdMax+time.Duration(holdSpread*float64(holdMax))+resend))
+		g.Expect(runs[i] - runs[i-1]).To(gomega.BeNumerically("<=", maxQuarantine+time.Duration(quarantineJitter*float64(maxQuarantine))+resend))
 	}
 }
 
-// Requests that were under way when the quarantine began end servers too. They are no
-// sign that another try failed.
-func TestStragglersDoNotLengthenTheQuarantine(t *testing.T) {
+// Requests already in flight when the quarantine starts must not count as another failed
+// try.
+func TestRequestsInFlightDoNotLengthenQuarantine(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := newTable()
 	for i := range 12 {
-		end(table, time.Duration(i)*100*time.Millisecond, i)
+		recordPoisonTermination(table, time.Duration(i)*100*time.Millisecond, i)
 	}
 	held := table.Held(time.Second)
 	g.Expect(held).To(gomega.HaveLen(1))
@@ -111,9 +113,9 @@
 	g.Expect(held[0].Ends).To(gomega.Equal(12))
 }
 
-// Servers of the service are killed all the time. A request that takes long is in work
-// at a few of these ends, and its callers send it again.
-func TestARequestInWorkAtFewOfManyEndsIsNotHeld(t *testing.T) {
+// A long healthy request that is in flight at a few of many terminations, and then
+// resent, must not be quarantined.
+func TestRequestAtFewOfManyTerminationsIsNotQuarantined(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := newTable()
 	for i := range 60 {
@@ -125,15 +127,16 @@
 		g.Expect(held).To(gomega.BeEmpty())
 	}
 	g.Expect(table.Terminations(poison)).To(gomega.Equal(10))
-	// Ends of another service say nothing of it.
+	// Terminations of another service do not count.
 	for i := range 3 {
 		held, _ := table.RecordTermination(time.Minute, Termination{Start: fmt.Sprint("other", i), Service: "f/t", Marks: []Fingerprint{9}})
 		g.Expect(held).To(gomega.HaveLen(i / 2))
 	}
 }
 
-// Three requests that end servers come in turn: each is in work at a third of the ends.
-func TestSeveralRequestsThatEndServersAreHeld(t *testing.T) {
+// Several requests that terminate servers in turn, each in flight at a third of the
+// terminations, must all be quarantined.
+func TestSeveralCausesAreQuarantined(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := newTable()
 	held := 0
@@ -144,29 +147,28 @@
 	g.Expect(held).To(gomega.Equal(3))
 }
 
-func TestSuspicionEndsByItself(t *testing.T) {
+func TestSuspicionExpires(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := newTable()
 	for i := range TerminationThreshold {
-		end(table, 0, i)
+		recordPoisonTermination(table, 0, i)
 	}
-	longest := firstHold + time.Duration(holdSpread*float64(firstHold))
+	longest := initialQuarantine + time.Duration(quarantineJitter*float64(initialQuarantine))
 	g.Expect(table.View(longest).Left(longest, Fingerprints{Content: poison})).To(gomega.BeZero())
 	g.Expect(table.Held(longest)).To(gomega.BeEmpty())
-	later := keepFor + time.Second
+	later := suspectLifetime + time.Second
 	g.Expect(table.View(later).Empty()).To(gomega.BeTrue())
-	end(table, later, 20)
-	end(table, later, 21)
-	g.Expect(table.View(later).Left(later, Fingerprints{Content: poison})).To(gomega.BeZero(), "it begins anew")
+	recordPoisonTermination(table, later, 20)
+	recordPoisonTermination(table, later, 21)
+	g.Expect(table.View(later).Left(later, Fingerprints{Content: poison})).To(gomega.BeZero(), "counting starts afresh")
 }
 
-// A whole fleet loses power, several times: the memory stays bounded, and a mark in
-// quarantine is not forgotten for it.
+// Mass terminations must neither grow the table beyond its bounds nor end a quarantine.
 func TestMassEndsAreBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := newTable()
 	for i := range TerminationThreshold {
-		end(table, 0, i)
+		recordPoisonTermination(table, 0, i)
 	}
 	rng := rand.New(rand.NewPCG(3, 4))
 	for i := range 24000 {
@@ -176,33 +178,33 @@
 		}
 		table.RecordTermination(time.Second, Termination{Start: "mass-" + fmt.Sprint(i), Service: fmt.Sprint("f/", i%3300), Marks: marks})
 	}
-	g.Expect(len(table.services)).To(gomega.BeNumerically("<=", servicesMax))
-	for _, ends := range table.services {
-		g.Expect(len(ends)).To(gomega.BeNumerically("<=", serviceEnds))
+	g.Expect(len(table.serviceTerminations)).To(gomega.BeNumerically("<=", maxServices))
+	for _, ends := range table.serviceTerminations {
+		g.Expect(len(ends)).To(gomega.BeNumerically("<=", maxServiceTerminations))
 	}
-	g.Expect(len(table.young)).To(gomega.BeNumerically("<=", generation))
-	g.Expect(len(table.old)).To(gomega.BeNumerically("<=", generation))
-	g.Expect(len(table.hot)).To(gomega.BeNumerically("<=", viewMax))
-	g.Expect(len(table.starts)).To(gomega.BeNumerically("<=", startsMax))
+	g.Expect(len(table.young)).To(gomega.BeNumerically("<=", generationSize))
+	g.Expect(len(table.old)).To(gomega.BeNumerically("<=", generationSize))
+	g.Expect(len(table.repeat)).To(gomega.BeNumerically("<=", maxRepeatSuspects))
+	g.Expect(len(table.terminatedStarts)).To(gomega.BeNumerically("<=", maxTerminatedStarts))
 	g.Expect(table.View(time.Second).Left(time.Second, Fingerprints{Content: poison})).NotTo(gomega.BeZero())
 }
 
-func TestAStartedNodeAdoptsWhatOthersHold(t *testing.T) {
+func TestStartedNodeAdoptsQuarantine(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table, other := newTable(), newTable()
 	for i := range TerminationThreshold {
-		end(table, 0, i)
+		recordPoisonTermination(table, 0, i)
 	}
 	other.Adopt(time.Minute, table.Held(5*time.Second))
 	left := other.View(time.Minute).Left(time.Minute, Fingerprints{Content: poison})
 	g.Expect(left).To(gomega.BeNumerically("~", table.View(0).Left(5*time.Second, Fingerprints{Content: poison}), time.Millisecond))
-	g.Expect(end(other, time.Minute+left+time.Second, 50)[0].Round).To(gomega.Equal(2), "the next end is of another try")
+	g.Expect(recordPoisonTermination(other, time.Minute+left+time.Second, 50)[0].Round).To(gomega.Equal(2), "the next termination follows another try")
 	other.Adopt(0, []QuarantinedRequest{{Mark: 9, Round: 1, Left: -time.Second}, {Mark: 0, Round: 1, Left: time.Hour}})
 	g.Expect(other.View(0).Left(0, Fingerprints{Content: 9})).To(gomega.BeZero())
 	g.Expect(other.View(0).Left(0, Fingerprints{})).To(gomega.BeZero())
 }
 
-func TestAnswersAreRememberedForAWhile(t *testing.T) {
+func TestRecentAnswersExpire(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var a RecentAnswers
 	m := Fingerprints{Content: 1 << 40, Caller: 3<<40 + 1}
@@ -210,18 +212,18 @@
 	for _, now := range []time.Duration{time.Second, 100 * time.Hour} {
 		a.Note(now, m)
 		g.Expect(a.AnsweredRecently(now, m.Content)).To(gomega.BeTrue())
-		g.Expect(a.AnsweredRecently(now+answerFor/2, m.Caller)).To(gomega.BeTrue())
-		g.Expect(a.AnsweredRecently(now+answerFor, m.Content)).To(gomega.BeFalse())
-		g.Expect(a.AnsweredRecently(now, 5<<40)).To(gomega.BeFalse(), "another mark of the same slot")
+		g.Expect(a.AnsweredRecently(now+answerLifetime/2, m.Caller)).To(gomega.BeTrue())
+		g.Expect(a.AnsweredRecently(now+answerLifetime, m.Content)).To(gomega.BeFalse())
+		g.Expect(a.AnsweredRecently(now, 5<<40)).To(gomega.BeFalse(), "another fingerprint in the same slot")
 	}
 	a.Note(0, Fingerprints{Content: 8 << 40})
 	g.Expect(a.AnsweredRecently(0, 0)).To(gomega.BeFalse())
 }
 
-func BenchmarkLookUp(b *testing.B) {
+func BenchmarkLookup(b *testing.B) {
 	table := newTable()
 	for i := range TerminationThreshold {
-		end(table, 0, i)
+		recordPoisonTermination(table, 0, i)
 	}
 	v := table.View(0)
 	var a RecentAnswers
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -7,299 +7,314 @@
 )
 
 const (
-	// Ends is how many ends of backend servers put a mark in quarantine.
+	// TerminationThreshold is the number of terminations that put a fingerprint in
+	// quarantine.
 	TerminationThreshold = 3
-	// causeShare is the least share of the ends in a service, from the mark's first on,
-	// at which the mark may be their cause: one in so many. Where servers are killed all
-	// the time, a healthy request can be in work at three of many ends. A smaller share
-	// does, one in oneOfSeveral, after manyEnds: several requests may end servers in turn.
-	causeShare   = 2
-	oneOfSeveral = 4
-	manyEnds     = 2 * TerminationThreshold
-	// firstHold is the length of a first quarantine, holdFactor by how much each
-	// further one is longer, and holdMax its most.
-	firstHold  = 20 * time.Second
-	holdFactor = 4
-	holdMax    = 15 * time.Minute
-	// holdSpread is the share by which nodes differ in the length. The first of them
-	// that tries again tells the others of another end before most have begun.
-	holdSpread = 0.5
-	// stragglers is for how long ends may come in of requests that were sent before
-	// all nodes knew of the quarantine.
-	stragglers = 5 * time.Second
-	// keepFor is how long a mark is remembered after the last end.
-	keepFor = 30 * time.Minute
-	// generation is how many marks are remembered before the older ones are forgotten:
-	// two generations are.
-	generation = 1024
-	// viewMax bounds the marks of a View.
-	viewMax = 256
-	// startsMax bounds the starts of backend servers whose end is known, and startsFor
-	// is for how long they are: ends are told again for a while. What ends beyond that
-	// is not counted.
-	startsMax = 4096
-	startsFor = time.Minute
-	// servicesMax bounds the services whose ends are counted, and serviceEnds the ends
-	// of each.
-	servicesMax = 256
-	serviceEnds = 64
+	// causeDivisor sets the share of a service's terminations, counted from the
+	// fingerprint's first, that the fingerprint must be found at to be a likely cause: at
+	// least 1/causeDivisor. Servers may be killed for other reasons while a healthy
+	// request is in flight. After manyTerminations a share of 1/sharedCauseDivisor
+	// suffices, since several requests may terminate servers in turn.
+	causeDivisor       = 2
+	sharedCauseDivisor = 4
+	manyTerminations   = 2 * TerminationThreshold
+	// initialQuarantine is the length of the first quarantine, quarantineBackoff the
+	// factor by which each further one is longer, and maxQuarantine the upper bound.
+	initialQuarantine = 20 * time.Second
+	quarantineBackoff = 4
+	maxQuarantine     = 15 * time.Minute
+	// quarantineJitter is the maximum share by which a node lengthens a quarantine, so
+	// that the first node to try again can warn the others.
+	quarantineJitter = 0.5
+	// inFlightGrace is how long after the start of a quarantine further terminations are
+	// attributed to requests sent before all nodes knew of it.
+	inFlightGrace = 5 * time.Second
+	// suspectLifetime is how long a fingerprint is remembered after its last termination.
+	suspectLifetime = 30 * time.Minute
+	// generationSize is the number of fingerprints in each of the two generations of
+	// suspects.
+	generationSize = 1024
+	// maxRepeatSuspects bounds the fingerprints of a View.
+	maxRepeatSuspects = 256
+	// maxTerminatedStarts bounds the remembered starts whose termination was counted, and
+	// terminatedStartLifetime is how long they are remembered to ignore repeated reports.
+	// Terminations beyond the bound are not counted.
+	maxTerminatedStarts     = 4096
+	terminatedStartLifetime = time.Minute
+	// maxServices bounds the services whose terminations are counted, and
+	// maxServiceTerminations the terminations remembered for each.
+	maxServices            = 256
+	maxServiceTerminations = 64
 )
 
-// End is the end of a backend server.
+// Termination is the termination of a backend server.
 type Termination struct {
-	// Start names the start that ended.
+	// Start identifies the start of the backend server that terminated.
 	Start string
 	// Service is the service of the backend server.
 	Service string
-	// Marks are of what it had in work.
+	// Marks are the fingerprints of the requests that the backend server had in flight.
 	Marks []Fingerprint
 }
 
-// Held is a mark in quarantine, as one node tells it to another.
+// QuarantinedRequest describes a quarantined fingerprint as one node reports it to
+// another. Field names are part of the encoding between nodes.
 type QuarantinedRequest struct {
+	// Mark is the fingerprint.
 	Mark Fingerprint
-	// Ends is how many backend servers ended, and Round counts the quarantines.
+	// Ends is the number of terminations, and Round the number of quarantines so far.
 	Ends, Round int
-	// Left is the time until the quarantine is over.
+	// Left is the time until the quarantine ends.
 	Left time.Duration
 }
 
-// suspect is what is known of a mark.
+// suspect holds the termination history of a fingerprint.
 type suspect struct {
-	ends, round int
-	// first and last are the first and the last end, and held is when the present
-	// quarantine began.
-	first, last, held, until time.Duration
+	// round counts the quarantines.
+	terminations, round int
+	// firstTermination and lastTermination are times of terminations; quarantinedAt and
+	// quarantinedUntil delimit the latest quarantine.
+	firstTermination, lastTermination, quarantinedAt, quarantinedUntil time.Duration
 }
 
-// Table counts ends by mark. It is not safe for concurrent use.
+// Table counts terminations by fingerprint. It is not safe for concurrent use.
 type Table struct {
 	rand *rand.Rand
-	// young and old are the generations of suspects, and hot those that more than one
-	// server has ended under.
-	young, old, hot map[Fingerprint]*suspect
-	starts          map[string]time.Duration
-	// services holds when the last servers of each service ended.
-	services map[string][]time.Duration
+	// young and old are the generations of suspects, and repeat holds those with more
+	// than one termination.
+	young, old, repeat map[Fingerprint]*suspect
+	// terminatedStarts maps counted starts to the time of their termination.
+	terminatedStarts map[string]time.Duration
+	// serviceTerminations holds the times of the latest terminations in each service.
+	serviceTerminations map[string][]time.Duration
 }
 
-// New returns an empty table. The source of choices spreads the quarantines' ends.
+// New returns an empty table. r provides the jitter of the quarantines.
 func New(r *rand.Rand) *Table {
-	return &Table{rand: r, young: map[Fingerprint]*suspect{}, old: map[Fingerprint]*suspect{}, hot: map[Fingerprint]*suspect{}, starts: map[string]time.Duration{}, services: map[string][]time.Duration{}}
+	return &Table{rand: r, young: map[Fingerprint]*suspect{}, old: map[Fingerprint]*suspect{}, repeat: map[Fingerprint]*suspect{}, terminatedStarts: map[string]time.Duration{}, serviceTerminations: map[string][]time.Duration{}}
 }
 
-// Ended counts the end of a backend server. It returns the marks that are in quarantine
-// from now on, and false if the end was counted before.
+// RecordTermination counts the termination of a backend server. It returns the
+// fingerprints whose quarantine starts with it, and false if the termination was not
+// counted because it is already known or the table of starts is full.
 func (t *Table) RecordTermination(now time.Duration, e Termination) (held []QuarantinedRequest, news bool) {
-	if _, known := t.starts[e.Start]; known || !t.noteStart(now, e) {
+	if _, known := t.terminatedStarts[e.Start]; known || !t.recordStart(now, e) {
 		return nil, false
 	}
 	for _, m := range e.Marks {
-		if m != 0 && t.count(now, m, e.Service) {
-			held = append(held, t.tell(now, m, t.hot[m]))
+		if m != 0 && t.countTermination(now, m, e.Service) {
+			held = append(held, t.quarantinedRequest(now, m, t.repeat[m]))
 		}
 	}
 	return held, true
 }
 
-// noteStart remembers an end; false if there is no room for it.
-func (t *Table) noteStart(now time.Duration, e Termination) bool {
-	if len(t.starts) >= startsMax {
-		maps.DeleteFunc(t.starts, func(_ string, at time.Duration) bool { return now-at > startsFor })
+// recordStart remembers a terminated start. It returns false if there is no room for it.
+func (t *Table) recordStart(now time.Duration, e Termination) bool {
+	if len(t.terminatedStarts) >= maxTerminatedStarts {
+		maps.DeleteFunc(t.terminatedStarts, func(_ string, at time.Duration) bool { return now-at > terminatedStartLifetime })
 	}
-	if len(t.starts) >= startsMax {
+	if len(t.terminatedStarts) >= maxTerminatedStarts {
 		return false
 	}
-	t.starts[e.Start] = now
-	if _, known := t.services[e.Service]; !known && len(t.services) >= servicesMax {
-		clear(t.services)
+	t.terminatedStarts[e.Start] = now
+	if _, known := t.serviceTerminations[e.Service]; !known && len(t.serviceTerminations) >= maxServices {
+		clear(t.serviceTerminations)
 	}
-	ends := append(t.services[e.Service], now)
-	t.services[e.Service] = ends[max(0, len(ends)-serviceEnds):]
+	ends := append(t.serviceTerminations[e.Service], now)
+	t.serviceTerminations[e.Service] = ends[max(0, len(ends)-maxServiceTerminations):]
 	return true
 }
 
-// mayCause tells whether a mark was in work at a good share of the ends in a service.
-func (t *Table) mayCause(s *suspect, service string) bool {
+// isLikelyCause reports whether a suspect was in flight at a large enough share of the
+// terminations in a service.
+func (t *Table) isLikelyCause(s *suspect, service string) bool {
 	all := 0
-	for _, at := range t.services[service] {
-		if at >= s.first {
+	for _, at := range t.serviceTerminations[service] {
+		if at >= s.firstTermination {
 			all++
 		}
 	}
-	if s.ends >= manyEnds {
-		return s.ends*oneOfSeveral >= all
+	if s.terminations >= manyTerminations {
+		return s.terminations*sharedCauseDivisor >= all
 	}
-	return s.ends*causeShare >= all
+	return s.terminations*causeDivisor >= all
 }
 
-// count adds an end to a mark; true if a quarantine begins with it.
-func (t *Table) count(now time.Duration, m Fingerprint, service string) bool {
-	s := t.suspect(m)
-	if s.ends > 0 && now-s.last > keepFor {
+// countTermination adds a termination to a fingerprint and reports whether it starts a
+// quarantine.
+func (t *Table) countTermination(now time.Duration, m Fingerprint, service string) bool {
+	s := t.suspectOf(m)
+	if s.terminations > 0 && now-s.lastTermination > suspectLifetime {
 		*s = suspect{}
 	}
-	if s.ends == 0 {
-		s.first = now
+	if s.terminations == 0 {
+		s.firstTermination = now
 	}
-	s.ends++
-	s.last = now
-	if s.ends > 1 {
-		t.heat(m, s)
+	s.terminations++
+	s.lastTermination = now
+	if s.terminations > 1 {
+		t.addRepeat(m, s)
 	}
-	if t.hot[m] != s || s.ends < TerminationThreshold || !t.mayCause(s, service) {
+	if t.repeat[m] != s || s.terminations < TerminationThreshold || !t.isLikelyCause(s, service) {
 		return false
 	}
-	if s.round > 0 && now-s.held < stragglers {
+	if s.round > 0 && now-s.quarantinedAt < inFlightGrace {
 		return false
 	}
 	s.round++
-	s.held = now
-	s.until = now + t.spread(holdOf(s.round))
+	s.quarantinedAt = now
+	s.quarantinedUntil = now + t.addJitter(quarantineDuration(s.round))
 	return true
 }
 
-// suspect returns what is known of a mark, in the young generation.
-func (t *Table) suspect(m Fingerprint) *suspect {
+// suspectOf returns the suspect of a fingerprint, new if unknown, and moves it to the
+// young generation.
+func (t *Table) suspectOf(m Fingerprint) *suspect {
 	if s := t.young[m]; s != nil {
 		return s
 	}
 	s := t.old[m]
 	if s == nil {
-		s = t.hot[m]
+		s = t.repeat[m]
 	}
 	if s == nil {
 		s = &suspect{}
 	}
-	if len(t.young) >= generation {
+	if len(t.young) >= generationSize {
 		t.old, t.young = t.young, map[Fingerprint]*suspect{}
 	}
 	t.young[m] = s
 	return s
 }
 
-// heat puts a mark among the hot ones. Where these are too many the one whose last end
-// is longest ago makes room, unless it is in quarantine.
-func (t *Table) heat(m Fingerprint, s *suspect) {
-	if t.hot[m] == nil && len(t.hot) >= viewMax && !t.cool(s.last) {
+// addRepeat adds a suspect to the repeat suspects. If there are too many, it replaces the
+// one with the oldest termination that is not in quarantine; if all are, it does nothing.
+func (t *Table) addRepeat(m Fingerprint, s *suspect) {
+	if t.repeat[m] == nil && len(t.repeat) >= maxRepeatSuspects && !t.evictRepeat(s.lastTermination) {
 		return
 	}
-	t.hot[m] = s
+	t.repeat[m] = s
 }
 
-func (t *Table) cool(now time.Duration) bool {
+// evictRepeat removes the repeat suspect with the oldest termination among those not in
+// quarantine, and reports whether there was one.
+func (t *Table) evictRepeat(now time.Duration) bool {
 	var oldest Fingerprint
-	for m, s := range t.hot {
-		if now < s.until {
+	for m, s := range t.repeat {
+		if now < s.quarantinedUntil {
 			continue
 		}
-		if oldest == 0 || s.last < t.hot[oldest].last {
+		if oldest == 0 || s.lastTermination < t.repeat[oldest].lastTermination {
 			oldest = m
 		}
 	}
 	if oldest == 0 {
 		return false
 	}
-	delete(t.hot, oldest)
+	delete(t.repeat, oldest)
 	return true
 }
 
-func holdOf(round int) time.Duration {
-	d := firstHold
+// quarantineDuration returns the length of a quarantine, without jitter.
+func quarantineDuration(round int) time.Duration {
+	d := initialQuarantine
 	for range round - 1 {
-		d = min(d*holdFactor, holdMax)
+		d = min(d*quarantineBackoff, maxQuarantine)
 	}
 	return d
 }
 
-func (t *Table) spread(d time.Duration) time.Duration {
-	return d + time.Duration(t.rand.Float64()*holdSpread*float64(d))
+func (t *Table) addJitter(d time.Duration) time.Duration {
+	return d + time.Duration(t.rand.Float64()*quarantineJitter*float64(d))
 }
 
-// Answered takes in that a backend server answered a request with the mark: nothing is
-// held against it any more. It tells whether something was.
+// RecordAnswer clears a fingerprint because a backend server answered a request with it.
+// It reports whether the fingerprint had been in quarantine.
 func (t *Table) RecordAnswer(m Fingerprint) bool {
-	s, hot := t.hot[m]
-	delete(t.hot, m)
+	s, hot := t.repeat[m]
+	delete(t.repeat, m)
 	delete(t.young, m)
 	delete(t.old, m)
 	return hot && s.round > 0
 }
 
-// Ends returns how many backend servers ended under a mark, 0 for fewer than two.
+// Terminations returns the number of terminations of a fingerprint, 0 if fewer than two.
 func (t *Table) Terminations(m Fingerprint) int {
-	if s := t.hot[m]; s != nil {
-		return s.ends
+	if s := t.repeat[m]; s != nil {
+		return s.terminations
 	}
 	return 0
 }
 
-// Held returns the marks in quarantine.
+// Held returns the fingerprints in quarantine.
 func (t *Table) Held(now time.Duration) []QuarantinedRequest {
 	var out []QuarantinedRequest
-	for m, s := range t.hot {
-		if now < s.until {
-			out = append(out, t.tell(now, m, s))
+	for m, s := range t.repeat {
+		if now < s.quarantinedUntil {
+			out = append(out, t.quarantinedRequest(now, m, s))
 		}
 	}
 	return out
 }
 
-func (t *Table) tell(now time.Duration, m Fingerprint, s *suspect) QuarantinedRequest {
-	return QuarantinedRequest{Mark: m, Ends: s.ends, Round: s.round, Left: s.until - now}
+func (t *Table) quarantinedRequest(now time.Duration, m Fingerprint, s *suspect) QuarantinedRequest {
+	return QuarantinedRequest{Mark: m, Ends: s.terminations, Round: s.round, Left: s.quarantinedUntil - now}
 }
 
-// Adopt takes over what another node holds in quarantine, for a node that has just
-// started.
+// Adopt adds the quarantines of another node to those of a node that has just started.
 func (t *Table) Adopt(now time.Duration, held []QuarantinedRequest) {
 	for _, h := range held {
 		if h.Mark == 0 || h.Left <= 0 {
 			continue
 		}
-		s := t.suspect(h.Mark)
+		s := t.suspectOf(h.Mark)
 		if h.Round <= s.round {
 			continue
 		}
-		*s = suspect{ends: max(h.Ends, TerminationThreshold), round: h.Round, first: now, last: now, held: now, until: now + min(h.Left, holdMax)}
-		t.heat(h.Mark, s)
+		*s = suspect{terminations: max(h.Ends, TerminationThreshold), round: h.Round, firstTermination: now, lastTermination: now, quarantinedAt: now, quarantinedUntil: now + min(h.Left, maxQuarantine)}
+		t.addRepeat(h.Mark, s)
 	}
 }
 
-// View returns what requests are looked up in.
+// View returns an immutable copy of the repeat suspects for lookups by requests. It also
+// drops those whose lifetime is over.
 func (t *Table) View(now time.Duration) *View {
-	v := &View{marks: make(map[Fingerprint]hold, len(t.hot))}
-	for m, s := range t.hot {
-		if now-s.last > keepFor && now >= s.until {
-			delete(t.hot, m)
+	v := &View{entries: make(map[Fingerprint]viewEntry, len(t.repeat))}
+	for m, s := range t.repeat {
+		if now-s.lastTermination > suspectLifetime && now >= s.quarantinedUntil {
+			delete(t.repeat, m)
 			continue
 		}
-		v.marks[m] = hold{s.ends, s.until}
+		v.entries[m] = viewEntry{s.terminations, s.quarantinedUntil}
 	}
 	return v
 }
 
-type hold struct {
-	ends  int
-	until time.Duration
+// viewEntry is a fingerprint's number of terminations and the end of its quarantine.
+type viewEntry struct {
+	terminations     int
+	quarantinedUntil time.Duration
 }
 
-// View is the marks under which several backend servers ended. It is immutable.
+// View holds the fingerprints with more than one termination. It is immutable.
 type View struct {
-	marks map[Fingerprint]hold
+	entries map[Fingerprint]viewEntry
 }
 
-// Empty tells whether nothing is known of any mark.
-func (v *View) Empty() bool { return len(v.marks) == 0 }
+// Empty reports whether the view has no fingerprints.
+func (v *View) Empty() bool { return len(v.entries) == 0 }
 
-// Knows tells whether several backend servers ended under one of the marks.
+// IsSuspect reports whether one of the fingerprints has more than one termination.
 func (v *View) IsSuspect(m Fingerprints) bool { return v.Terminations(m) > 0 }
 
-// Ends returns how many backend servers ended under the marks, 0 for fewer than two.
+// Terminations returns the larger number of terminations of the two fingerprints, 0 if
+// both have fewer than two.
 func (v *View) Terminations(m Fingerprints) int {
-	return max(v.marks[m.Content].ends, v.marks[m.Caller].ends)
+	return max(v.entries[m.Content].terminations, v.entries[m.Caller].terminations)
 }
 
-// Left returns for how long requests with the marks are refused; 0 if they are not.
+// Left returns how long requests with the fingerprints are refused, 0 if they are not.
 func (v *View) Left(now time.Duration, m Fingerprints) time.Duration {
-	return max(0, v.marks[m.Content].until-now, v.marks[m.Caller].until-now)
+	return max(0, v.entries[m.Content].quarantinedUntil-now, v.entries[m.Caller].quarantinedUntil-now)
 }
