--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -65,7 +65,7 @@
 }
 
 // note tells the search what a replica said.
-func note(s *seek.Search, now time.Duration, a leaderAnswer) {
+func note(s *seek.LeaderSearch, now time.Duration, a leaderAnswer) {
 	switch {
 	case a.err != nil:
 		s.Silent(now, a.addr)
--- a/seek/seek.go
+++ b/seek/seek.go
@@ -27,7 +27,7 @@
 
 // Search is the search for the leader on behalf of one command or read. It is not
 // safe for concurrent use.
-type Search struct {
+type LeaderSearch struct {
 	replicas map[string]*replica
 	// hint is the likely leader, "" if nobody named one.
 	hint string
@@ -36,13 +36,13 @@
 }
 
 // New returns a search that begins with the likely leader, "" if none is known.
-func New(hint string) *Search {
-	return &Search{replicas: map[string]*replica{}, hint: hint}
+func New(hint string) *LeaderSearch {
+	return &LeaderSearch{replicas: map[string]*replica{}, hint: hint}
 }
 
 // Next returns the replica to ask now, given all that are known, or "" and when to
 // look again. Time counts from any fixed moment.
-func (s *Search) Next(now time.Duration, addrs []string) (addr string, again time.Duration) {
+func (s *LeaderSearch) Next(now time.Duration, addrs []string) (addr string, again time.Duration) {
 	if now < s.nextAt {
 		return "", s.nextAt
 	}
@@ -63,7 +63,7 @@
 
 // choose returns the likely leader, else the replica that answers and was asked
 // least, with no question under way.
-func (s *Search) choose(now time.Duration, addrs []string) string {
+func (s *LeaderSearch) choose(now time.Duration, addrs []string) string {
 	if s.hint != "" && s.worthAsking(now, s.of(s.hint)) {
 		return s.hint
 	}
@@ -80,13 +80,13 @@
 }
 
 // worthAsking tells whether to ask a replica that another one takes for the leader.
-func (s *Search) worthAsking(now time.Duration, r *replica) bool {
+func (s *LeaderSearch) worthAsking(now time.Duration, r *replica) bool {
 	return !r.asking && (!r.silent || now-r.silentAt >= silentFor)
 }
 
 // before tells whether to ask a rather than b. A replica that did not answer has its
 // turn as well: it may be back.
-func (s *Search) before(a, b string) bool {
+func (s *LeaderSearch) before(a, b string) bool {
 	x, y := s.of(a), s.of(b)
 	if x.asked != y.asked {
 		return x.asked < y.asked
@@ -96,7 +96,7 @@
 
 // NotLeader takes in that a replica answered and does not lead, and whom it takes for
 // the leader, "" for nobody.
-func (s *Search) NotLeader(now time.Duration, addr, leader string) {
+func (s *LeaderSearch) NotLeader(now time.Duration, addr, leader string) {
 	r := s.of(addr)
 	r.asking, r.silent = false, false
 	s.hint = ""
@@ -112,7 +112,7 @@
 
 // NoQuorum takes in that the leader answered and could not commit. It is asked again,
 // as well as the others: another one may lead by now.
-func (s *Search) NoQuorum(now time.Duration, addr string) {
+func (s *LeaderSearch) NoQuorum(now time.Duration, addr string) {
 	r := s.of(addr)
 	r.asking, r.silent = false, false
 	s.hint = ""
@@ -121,7 +121,7 @@
 
 // Silent takes in that a question was not answered: the connection failed, or the
 // time was over.
-func (s *Search) Silent(now time.Duration, addr string) {
+func (s *LeaderSearch) Silent(now time.Duration, addr string) {
 	r := s.of(addr)
 	r.asking, r.silent, r.silentAt = false, true, now
 	if s.hint == addr {
@@ -130,7 +130,7 @@
 	s.nextAt = min(s.nextAt, now+pause)
 }
 
-func (s *Search) of(addr string) *replica {
+func (s *LeaderSearch) of(addr string) *replica {
 	r := s.replicas[addr]
 	if r == nil {
 		r = &replica{}
