--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -40,7 +40,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for since() < wait {
-		addr, again := search.Next(since(), n.replicaAddrs())
+		addr, again := search.NextReplica(since(), n.replicaAddrs())
 		if addr != "" {
 			open++
 			go func() {
--- a/seek/seek.go
+++ b/seek/seek.go
@@ -42,7 +42,7 @@
 
 // Next returns the replica to ask now, given all that are known, or "" and when to
 // look again. Time counts from any fixed moment.
-func (s *LeaderSearch) Next(now time.Duration, addrs []string) (addr string, again time.Duration) {
+func (s *LeaderSearch) NextReplica(now time.Duration, addrs []string) (addr string, again time.Duration) {
 	if now < s.nextAt {
 		return "", s.nextAt
 	}
--- a/seek/seek_test.go
+++ b/seek/seek_test.go
@@ -83,7 +83,7 @@
 			}
 		}
 		open = slices.DeleteFunc(open, func(q question) bool { return q.ends <= now })
-		addr, _ := s.Next(now, g.addrs)
+		addr, _ := s.NextReplica(now, g.addrs)
 		if addr == "" {
 			continue
 		}
@@ -122,15 +122,15 @@
 func TestSlowLeaderIsWaitedFor(t *testing.T) {
 	g := NewWithT(t)
 	s := seek.New("leader")
-	addr, again := s.Next(0, []string{"leader", "other"})
+	addr, again := s.NextReplica(0, []string{"leader", "other"})
 	g.Expect(addr).To(Equal("leader"))
-	addr, _ = s.Next(again-time.Millisecond, []string{"leader", "other"})
+	addr, _ = s.NextReplica(again-time.Millisecond, []string{"leader", "other"})
 	g.Expect(addr).To(BeEmpty(), "it has time to answer")
-	addr, _ = s.Next(again, []string{"leader", "other"})
+	addr, _ = s.NextReplica(again, []string{"leader", "other"})
 	g.Expect(addr).To(Equal("other"))
 	s.NotLeader(again, "other", "leader")
 	for now := again; now < time.Second; now += time.Millisecond {
-		addr, _ = s.Next(now, []string{"leader", "other"})
+		addr, _ = s.NextReplica(now, []string{"leader", "other"})
 		g.Expect(addr).NotTo(Equal("leader"), "its question is under way")
 		if addr == "other" {
 			s.NotLeader(now, "other", "leader")
@@ -142,11 +142,11 @@
 func TestReplicaThatCameBackIsAsked(t *testing.T) {
 	g := NewWithT(t)
 	s := seek.New("a")
-	_, _ = s.Next(0, []string{"a", "b"})
+	_, _ = s.NextReplica(0, []string{"a", "b"})
 	s.Silent(100*time.Millisecond, "a")
-	addr, _ := s.Next(200*time.Millisecond, []string{"a", "b"})
+	addr, _ := s.NextReplica(200*time.Millisecond, []string{"a", "b"})
 	g.Expect(addr).To(Equal("b"))
 	s.NotLeader(500*time.Millisecond, "b", "a")
-	addr, _ = s.Next(600*time.Millisecond, []string{"a", "b"})
+	addr, _ = s.NextReplica(600*time.Millisecond, []string{"a", "b"})
 	g.Expect(addr).To(Equal("a"))
 }
