--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -68,7 +68,7 @@
 func note(s *seek.LeaderSearch, now time.Duration, a leaderAnswer) {
 	switch {
 	case a.err != nil:
-		s.Silent(now, a.addr)
+		s.RecordNoResponse(now, a.addr)
 	case a.code == fault.NotLeader:
 		s.NotLeader(now, a.addr, a.leader)
 	default:
--- a/seek/seek.go
+++ b/seek/seek.go
@@ -121,7 +121,7 @@
 
 // Silent takes in that a question was not answered: the connection failed, or the
 // time was over.
-func (s *LeaderSearch) Silent(now time.Duration, addr string) {
+func (s *LeaderSearch) RecordNoResponse(now time.Duration, addr string) {
 	r := s.of(addr)
 	r.asking, r.silent, r.silentAt = false, true, now
 	if s.hint == addr {
--- a/seek/seek_test.go
+++ b/seek/seek_test.go
@@ -75,7 +75,7 @@
 			}
 			switch {
 			case g.lost[q.addr]:
-				s.Silent(now, q.addr)
+				s.RecordNoResponse(now, q.addr)
 			case q.addr == g.next && now >= g.elected:
 				return now
 			default:
@@ -143,7 +143,7 @@
 	g := NewWithT(t)
 	s := seek.New("a")
 	_, _ = s.NextReplica(0, []string{"a", "b"})
-	s.Silent(100*time.Millisecond, "a")
+	s.RecordNoResponse(100*time.Millisecond, "a")
 	addr, _ := s.NextReplica(200*time.Millisecond, []string{"a", "b"})
 	g.Expect(addr).To(Equal("b"))
 	s.NotLeader(500*time.Millisecond, "b", "a")
