--- a/seek/doc.go
+++ b/seek/doc.go
@@ -1,9 +1,8 @@
-// Package seek decides which replica of a group to ask while it is not known which
-// one leads: whoever has a command or a read for the leader tells what was asked and
-// answered, and gets the next address to ask.
+// Package seek finds the leader of a replica group for a command or a read. Given the
+// outcomes of earlier requests, it decides which replica to send the next one to.
 //
-// The load that it answers: replicas lose power, and neither answer nor refuse a
-// connection. Questions that wait for them one after another cost the time of
-// several, while a leader is long elected. Here a question that is not answered soon
-// holds up no other. It is pure: events and a time in, the next question out.
+// A replica without power neither answers nor refuses connections. Waiting for such
+// replicas in turn would delay the request long after a new leader is elected, so an
+// unanswered request is hedged: another replica is asked as well. The package does no I/O
+// and reads no clock.
 package seek
--- a/seek/seek.go
+++ b/seek/seek.go
@@ -3,137 +3,139 @@
 import "time"
 
 const (
-	// hedge is how long a question may go unanswered until another replica is asked
+	// hedgeDelay is how long a request may go unanswered before another replica is asked
 	// as well: many round trips between failure domains.
-	hedge = 60 * time.Millisecond
-	// pause is the time between two questions while nobody leads.
-	pause = 20 * time.Millisecond
-	// silentFor is how long a replica that did not answer is not asked at another's
-	// word: those that have not noticed its loss go on naming it.
-	silentFor = 300 * time.Millisecond
+	hedgeDelay = 60 * time.Millisecond
+	// requestInterval is the time between two requests while there is no leader.
+	requestInterval = 20 * time.Millisecond
+	// unresponsiveHintDelay is how long an unresponsive replica is not asked on another
+	// replica's hint, since replicas that have not noticed its loss still name it as
+	// leader.
+	unresponsiveHintDelay = 300 * time.Millisecond
 )
 
-// replica is what is known of one address.
-type replica struct {
-	// asking tells whether a question is under way.
-	asking bool
-	// asked counts the questions.
-	asked int
-	// silent tells whether the last one was not answered, and silentAt since when
-	// that is known.
-	silent   bool
-	silentAt time.Duration
+// replicaState is the state of the requests to one replica.
+type replicaState struct {
+	// requestPending reports whether a request is in flight.
+	requestPending bool
+	// requests counts the requests sent.
+	requests int
+	// unresponsive reports whether the last request got no response; unresponsiveSince is
+	// when that became known.
+	unresponsive      bool
+	unresponsiveSince time.Duration
 }
 
-// Search is the search for the leader on behalf of one command or read. It is not
+// LeaderSearch is the search for the leader on behalf of one command or read. It is not
 // safe for concurrent use.
 type LeaderSearch struct {
-	replicas map[string]*replica
-	// hint is the likely leader, "" if nobody named one.
-	hint string
-	// nextAt is when the next question may be asked.
-	nextAt time.Duration
+	replicas map[string]*replicaState
+	// leaderHint is the address of the likely leader, "" if unknown.
+	leaderHint string
+	// nextRequestAt is the earliest time of the next request.
+	nextRequestAt time.Duration
 }
 
-// New returns a search that begins with the likely leader, "" if none is known.
+// New returns a search that starts with the likely leader, "" if unknown.
 func New(hint string) *LeaderSearch {
-	return &LeaderSearch{replicas: map[string]*replica{}, hint: hint}
+	return &LeaderSearch{replicas: map[string]*replicaState{}, leaderHint: hint}
 }
 
-// Next returns the replica to ask now, given all that are known, or "" and when to
-// look again. Time counts from any fixed moment.
+// NextReplica returns the replica to ask now, given the addresses of all known replicas,
+// or "" and the time at which to call again. Times count from any fixed moment.
 func (s *LeaderSearch) NextReplica(now time.Duration, addrs []string) (addr string, again time.Duration) {
-	if now < s.nextAt {
-		return "", s.nextAt
+	if now < s.nextRequestAt {
+		return "", s.nextRequestAt
 	}
-	addr = s.choose(now, addrs)
+	addr = s.chooseReplica(now, addrs)
 	if addr == "" {
-		return "", now + pause
+		return "", now + requestInterval
 	}
-	r := s.of(addr)
-	r.asking = true
-	r.asked++
-	s.nextAt = now + hedge
-	if r.silent {
-		// It will hardly answer: its question is one beside the next.
-		s.nextAt = now + pause
+	r := s.stateOf(addr)
+	r.requestPending = true
+	r.requests++
+	s.nextRequestAt = now + hedgeDelay
+	if r.unresponsive {
+		// The replica is unlikely to respond; do not delay the next request.
+		s.nextRequestAt = now + requestInterval
 	}
-	return addr, s.nextAt
+	return addr, s.nextRequestAt
 }
 
-// choose returns the likely leader, else the replica that answers and was asked
-// least, with no question under way.
-func (s *LeaderSearch) choose(now time.Duration, addrs []string) string {
-	if s.hint != "" && s.worthAsking(now, s.of(s.hint)) {
-		return s.hint
+// chooseReplica returns the likely leader if it should be asked, else the responsive
+// replica with the fewest requests. It returns none with a request in flight.
+func (s *LeaderSearch) chooseReplica(now time.Duration, addrs []string) string {
+	if s.leaderHint != "" && s.shouldFollowHint(now, s.stateOf(s.leaderHint)) {
+		return s.leaderHint
 	}
 	best := ""
 	for _, a := range addrs {
-		if s.of(a).asking {
+		if s.stateOf(a).requestPending {
 			continue
 		}
-		if best == "" || s.before(a, best) {
+		if best == "" || s.isPreferred(a, best) {
 			best = a
 		}
 	}
 	return best
 }
 
-// worthAsking tells whether to ask a replica that another one takes for the leader.
-func (s *LeaderSearch) worthAsking(now time.Duration, r *replica) bool {
-	return !r.asking && (!r.silent || now-r.silentAt >= silentFor)
+// shouldFollowHint reports whether to ask a replica that is named as the leader.
+func (s *LeaderSearch) shouldFollowHint(now time.Duration, r *replicaState) bool {
+	return !r.requestPending && (!r.unresponsive || now-r.unresponsiveSince >= unresponsiveHintDelay)
 }
 
-// before tells whether to ask a rather than b. A replica that did not answer has its
-// turn as well: it may be back.
-func (s *LeaderSearch) before(a, b string) bool {
-	x, y := s.of(a), s.of(b)
-	if x.asked != y.asked {
-		return x.asked < y.asked
+// isPreferred reports whether to ask a rather than b: the one with fewer requests, then
+// the responsive one. Unresponsive replicas get their turn since they may have recovered.
+func (s *LeaderSearch) isPreferred(a, b string) bool {
+	x, y := s.stateOf(a), s.stateOf(b)
+	if x.requests != y.requests {
+		return x.requests < y.requests
 	}
-	return !x.silent && y.silent
+	return !x.unresponsive && y.unresponsive
 }
 
-// NotLeader takes in that a replica answered and does not lead, and whom it takes for
-// the leader, "" for nobody.
+// NotLeader records that a replica answered that it is not the leader. leader is the one
+// that it names, "" if none.
 func (s *LeaderSearch) NotLeader(now time.Duration, addr, leader string) {
-	r := s.of(addr)
-	r.asking, r.silent = false, false
-	s.hint = ""
+	r := s.stateOf(addr)
+	r.requestPending, r.unresponsive = false, false
+	s.leaderHint = ""
 	if leader != addr {
-		s.hint = leader
+		s.leaderHint = leader
 	}
-	s.nextAt = now + pause
-	if s.hint != "" && s.of(s.hint).asked == 0 {
-		// A leader that was not asked yet needs no pause.
-		s.nextAt = now
+	s.nextRequestAt = now + requestInterval
+	if s.leaderHint != "" && s.stateOf(s.leaderHint).requests == 0 {
+		// Ask a leader that was not asked yet without delay.
+		s.nextRequestAt = now
 	}
 }
 
-// NoQuorum takes in that the leader answered and could not commit. It is asked again,
-// as well as the others: another one may lead by now.
+// NoQuorum records that the leader answered but could not commit. All replicas are asked
+// next, since another one may have become the leader.
 func (s *LeaderSearch) NoQuorum(now time.Duration, addr string) {
-	r := s.of(addr)
-	r.asking, r.silent = false, false
-	s.hint = ""
-	s.nextAt = now + pause
+	r := s.stateOf(addr)
+	r.requestPending, r.unresponsive = false, false
+	s.leaderHint = ""
+	s.nextRequestAt = now + requestInterval
 }
 
-// Silent takes in that a question was not answered: the connection failed, or the
-// time was over.
+// RecordNoResponse records that a request got no response: the connection failed or the
+// request timed out.
 func (s *LeaderSearch) RecordNoResponse(now time.Duration, addr string) {
-	r := s.of(addr)
-	r.asking, r.silent, r.silentAt = false, true, now
-	if s.hint == addr {
-		s.hint = ""
+	r := s.stateOf(addr)
+	r.requestPending, r.unresponsive, r.unresponsiveSince = false, true, now
+	if s.leaderHint == addr {
+		s.leaderHint = ""
 	}
-	s.nextAt = min(s.nextAt, now+pause)
+	s.nextRequestAt = min(s.nextRequestAt, now+requestInterval)
 }
 
-func (s *LeaderSearch) of(addr string) *replica {
+// stateOf returns the state of a replica, created on first use.
+func (s *LeaderSearch) stateOf(addr string) *replicaState {
 	r := s.replicas[addr]
 	if r == nil {
-		r = &replica{}
+		r = &replicaState{}
 		s.replicas[addr] = r
 	}
 	return r
