--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -32,7 +32,7 @@
 }
 
 // Listen wraps a listener.
-func Listen(ln net.Listener) *Listener {
+func NewListener(ln net.Listener) *Listener {
 	return &Listener{Listener: ln, conns: map[*Conn]struct{}{}}
 }
 
--- a/internal/callers/callers_test.go
+++ b/internal/callers/callers_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln := Listen(raw)
+	ln := NewListener(raw)
 	arrived, left = make(chan string, 64), make(chan string, 64)
 	srv := &http.Server{ConnContext: Context, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		gone := make(chan struct{})
@@ -131,7 +131,7 @@
 		b.Fatal(err)
 	}
 	defer func() { _ = raw.Close() }()
-	ln := Listen(raw)
+	ln := NewListener(raw)
 	for range 1000 {
 		c := &Conn{l: ln}
 		c.reading.Lock()
