--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -94,7 +94,7 @@
 
 // Of returns the connection of a request by its context, nil if it came over
 // another listener.
-func Of(ctx context.Context) *Conn {
+func FromContext(ctx context.Context) *Conn {
 	c, _ := ctx.Value(contextKey{}).(*Conn)
 	return c
 }
--- a/internal/callers/callers_test.go
+++ b/internal/callers/callers_test.go
@@ -25,7 +25,7 @@
 	arrived, left = make(chan string, 64), make(chan string, 64)
 	srv := &http.Server{ConnContext: Context, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		gone := make(chan struct{})
-		c := Of(r.Context())
+		c := FromContext(r.Context())
 		c.Watch(func() { close(gone) })
 		defer c.Unwatch()
 		body, _ := io.ReadAll(r.Body)
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -36,7 +36,7 @@
 	}
 	stop := context.AfterFunc(r.Context(), c.leave)
 	defer stop()
-	conn := callers.Of(r.Context())
+	conn := callers.FromContext(r.Context())
 	conn.Watch(c.leave)
 	defer conn.Unwatch()
 	defer c.scope.Close()
