--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -51,7 +51,7 @@
 
 // Sweep looks at all connections with a request in work, and tells of those
 // whose caller has left.
-func (l *Listener) Sweep() {
+func (l *Listener) CheckDisconnects() {
 	for _, c := range l.watched() {
 		c.look()
 	}
--- a/internal/callers/callers_test.go
+++ b/internal/callers/callers_test.go
@@ -50,7 +50,7 @@
 			case <-stop:
 				return
 			case <-tick.C:
-				ln.Sweep()
+				ln.CheckDisconnects()
 			}
 		}
 	}()
@@ -140,6 +140,6 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		ln.Sweep()
+		ln.CheckDisconnects()
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -188,7 +188,7 @@
 	n.publishMeta()
 	n.serve("data", func() error { return n.wireSrv.Serve(lns.data) })
 	arrivals := callers.NewListener(lns.http)
-	n.duty("callers", func() { n.every(n.opt.Sweep.Duration, func(time.Time) { arrivals.Sweep() }) })
+	n.duty("callers", func() { n.every(n.opt.Sweep.Duration, func(time.Time) { arrivals.CheckDisconnects() }) })
 	n.serve("http", func() error { return n.httpSrv.Serve(arrivals) })
 	n.info("node", "Serving.", "name", n.opt.Name, "failure_domain", n.opt.Domain, "http", n.opt.HTTP)
 	return nil
