--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -1,10 +1,9 @@
-// Package callers watches the connections of callers for those that leave.
+// Package callers detects callers that disconnect while their request is in progress.
 //
-// net/http reads on while a request is in work, and so sees a caller leave; but
-// only up to the first byte of a next request that the caller has sent behind
-// it. From then on it reads nothing until the request is answered, and a caller
-// that leaves is not seen. Here a sweep reads on in its place, up to a bound for
-// each connection, and keeps what it read for the requests to come.
+// While a handler runs, net/http reads the connection only up to the first byte of a
+// pipelined request; after that it does not notice a disconnect until the handler
+// returns. CheckDisconnects reads on instead, up to a bound for each connection, and
+// buffers the data for later reads.
 package callers
 
 import (
@@ -16,14 +15,14 @@
 	"syscall"
 )
 
-// maxAhead bounds what is read ahead on a connection, in bytes: some twenty
-// requests of usual size. A caller that has sent more is not seen to leave.
-const maxAhead = 32 << 10
+// maxReadAheadBytes bounds the data buffered for a connection. Beyond it a disconnect is
+// not detected.
+const maxReadAheadBytes = 32 << 10
 
-// lookBytes is how much one look reads at most.
-const lookBytes = 4 << 10
+// readChunkBytes is the maximum number of bytes read in one check.
+const readChunkBytes = 4 << 10
 
-// Listener hands out connections that can be watched.
+// Listener wraps the connections that it accepts in Conn, so that they can be watched.
 type Listener struct {
 	net.Listener
 
@@ -31,7 +30,7 @@
 	conns map[*Conn]struct{}
 }
 
-// Listen wraps a listener.
+// NewListener returns a Listener that accepts connections from ln.
 func NewListener(ln net.Listener) *Listener {
 	return &Listener{Listener: ln, conns: map[*Conn]struct{}{}}
 }
@@ -42,58 +41,57 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Conn{Conn: raw, l: l}
+	c := &Conn{Conn: raw, listener: l}
 	l.mu.Lock()
 	l.conns[c] = struct{}{}
 	l.mu.Unlock()
 	return c, nil
 }
 
-// Sweep looks at all connections with a request in work, and tells of those
-// whose caller has left.
+// CheckDisconnects checks all watched connections and calls the callbacks of those whose
+// caller has disconnected.
 func (l *Listener) CheckDisconnects() {
-	for _, c := range l.watched() {
-		c.look()
+	for _, c := range l.watchedConns() {
+		c.checkDisconnect()
 	}
 }
 
-func (l *Listener) watched() []*Conn {
+func (l *Listener) watchedConns() []*Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []*Conn
 	for c := range l.conns {
-		if c.watching() {
+		if c.isWatched() {
 			out = append(out, c)
 		}
 	}
 	return out
 }
 
-// Conn is a connection of a caller.
+// Conn is a connection from a caller.
 type Conn struct {
 	net.Conn
-	l *Listener
+	listener *Listener
 
-	// reading is held while the connection is read.
-	reading sync.Mutex
-	// ahead is what the sweep has read, and end why nothing follows. Both are
-	// guarded by reading.
-	ahead []byte
-	end   error
+	// readMu is held while the connection is read.
+	readMu sync.Mutex
+	// readAheadBuf holds data read by checks, and readErr the error that ended them. Both
+	// are guarded by readMu.
+	readAheadBuf []byte
+	readErr      error
 
-	mu   sync.Mutex
-	left func()
+	mu           sync.Mutex
+	onDisconnect func()
 }
 
 type contextKey struct{}
 
-// Context is for http.Server.ConnContext; see Of.
+// Context stores the connection in the context; it is meant for http.Server.ConnContext.
 func Context(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, contextKey{}, c)
 }
 
-// Of returns the connection of a request by its context, nil if it came over
-// another listener.
+// FromContext returns the connection of a request, nil if another listener accepted it.
 func FromContext(ctx context.Context) *Conn {
 	c, _ := ctx.Value(contextKey{}).(*Conn)
 	return c
@@ -101,87 +99,87 @@
 
 // Read implements net.Conn.
 func (c *Conn) Read(p []byte) (int, error) {
-	c.reading.Lock()
-	defer c.reading.Unlock()
-	if len(c.ahead) > 0 {
-		n := copy(p, c.ahead)
-		c.ahead = c.ahead[n:]
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
+	if len(c.readAheadBuf) > 0 {
+		n := copy(p, c.readAheadBuf)
+		c.readAheadBuf = c.readAheadBuf[n:]
 		return n, nil
 	}
-	if c.end != nil {
-		return 0, c.end
+	if c.readErr != nil {
+		return 0, c.readErr
 	}
 	return c.Conn.Read(p)
 }
 
 // Close implements net.Conn.
 func (c *Conn) Close() error {
-	c.l.mu.Lock()
-	delete(c.l.conns, c)
-	c.l.mu.Unlock()
+	c.listener.mu.Lock()
+	delete(c.listener.conns, c)
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// Watch calls left, once, when the caller is seen to leave, until Unwatch. A nil
-// connection is not watched.
-func (c *Conn) Watch(left func()) {
+// Watch arranges for onDisconnect to be called once when the caller disconnects, until
+// Unwatch. It does nothing for a nil connection.
+func (c *Conn) Watch(onDisconnect func()) {
 	if c != nil {
-		c.setLeft(left)
+		c.setOnDisconnect(onDisconnect)
 	}
 }
 
-// Unwatch ends what Watch began.
+// Unwatch removes the callback set by Watch. It does nothing for a nil connection.
 func (c *Conn) Unwatch() {
 	if c != nil {
-		c.setLeft(nil)
+		c.setOnDisconnect(nil)
 	}
 }
 
-func (c *Conn) setLeft(left func()) {
+func (c *Conn) setOnDisconnect(onDisconnect func()) {
 	c.mu.Lock()
-	c.left = left
+	c.onDisconnect = onDisconnect
 	c.mu.Unlock()
 }
 
-func (c *Conn) watching() bool {
+func (c *Conn) isWatched() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.left != nil
+	return c.onDisconnect != nil
 }
 
-// look reads ahead where nobody else reads, and tells if the caller has left.
-func (c *Conn) look() {
-	if !c.reading.TryLock() {
-		// net/http reads, and sees the caller leave itself.
+// checkDisconnect reads ahead unless another read is in progress, and calls the callback
+// if the caller has disconnected.
+func (c *Conn) checkDisconnect() {
+	if !c.readMu.TryLock() {
+		// net/http is reading and detects a disconnect itself.
 		return
 	}
 	c.readAhead()
-	gone := c.end != nil
-	c.reading.Unlock()
-	if !gone {
+	disconnected := c.readErr != nil
+	c.readMu.Unlock()
+	if !disconnected {
 		return
 	}
 	c.mu.Lock()
-	left := c.left
-	c.left = nil
+	onDisconnect := c.onDisconnect
+	c.onDisconnect = nil
 	c.mu.Unlock()
-	if left != nil {
-		left()
+	if onDisconnect != nil {
+		onDisconnect()
 	}
 }
 
-// readAhead takes what has arrived without waiting for more. The read lock is
-// held.
+// readAhead buffers the data that has arrived, without blocking. The caller holds readMu.
 func (c *Conn) readAhead() {
 	sc, ok := c.Conn.(syscall.Conn)
-	if !ok || c.end != nil || len(c.ahead) >= maxAhead {
+	if !ok || c.readErr != nil || len(c.readAheadBuf) >= maxReadAheadBytes {
 		return
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
 		return
 	}
-	buf := make([]byte, min(lookBytes, maxAhead-len(c.ahead)))
+	buf := make([]byte, min(readChunkBytes, maxReadAheadBytes-len(c.readAheadBuf)))
 	var n int
 	var failed error
 	if err := raw.Control(func(fd uintptr) {
@@ -191,11 +189,11 @@
 	}
 	switch {
 	case n > 0:
-		c.ahead = append(c.ahead, buf[:n]...)
+		c.readAheadBuf = append(c.readAheadBuf, buf[:n]...)
 	case errors.Is(failed, syscall.EAGAIN), errors.Is(failed, syscall.EINTR):
 	case failed != nil:
-		c.end = failed
+		c.readErr = failed
 	default:
-		c.end = io.EOF
+		c.readErr = io.EOF
 	}
 }
--- a/internal/callers/callers_test.go
+++ b/internal/callers/callers_test.go
@@ -13,8 +13,8 @@
 	"github.com/onsi/gomega"
 )
 
-// serve runs a server whose requests to /wait last until their caller leaves,
-// and tells of each that left.
+// serve runs a server whose requests to /wait last until the caller disconnects. It
+// reports the paths of requests that arrived and of those whose caller disconnected.
 func serve(t *testing.T) (addr string, arrived, left chan string) {
 	t.Helper()
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,30 +68,30 @@
 	return c
 }
 
-const get = "GET %s HTTP/1.1\r\nHost: x\r\n\r\n"
+const getRequest = "GET %s HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// TestACallerThatLeavesWithRequestsBehind: without the sweep, net/http does not
-// see it, and the request in work goes on.
+// A disconnect must be detected while pipelined requests wait unread; net/http alone
+// misses it and the running request goes on.
 func TestACallerThatLeavesWithRequestsBehind(t *testing.T) {
 	for _, behind := range []int{0, 1, 20} {
 		t.Run(fmt.Sprint(behind), func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			addr, arrived, left := serve(t)
 			c := dial(t, addr)
-			_, err := fmt.Fprintf(c, get, "/wait")
+			_, err := fmt.Fprintf(c, getRequest, "/wait")
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			g.Eventually(arrived, 5*time.Second).Should(gomega.Receive(gomega.Equal("/wait")))
-			_, err = io.WriteString(c, strings.Repeat(fmt.Sprintf(get, "/next"), behind))
+			_, err = io.WriteString(c, strings.Repeat(fmt.Sprintf(getRequest, "/next"), behind))
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			g.Expect(c.Close()).To(gomega.Succeed())
 			g.Eventually(left, 2*time.Second).Should(gomega.Receive())
-			g.Consistently(arrived, 50*time.Millisecond).ShouldNot(gomega.Receive(), "none of those behind is run")
+			g.Consistently(arrived, 50*time.Millisecond).ShouldNot(gomega.Receive(), "no pipelined request may run")
 		})
 	}
 }
 
-// TestWhatWasReadAheadIsServed: requests with bodies, sent behind one another
-// in pieces while the sweep reads ahead, are answered whole and in order.
+// Pipelined requests with bodies, sent in pieces while checks read ahead, must be
+// answered whole and in order.
 func TestWhatWasReadAheadIsServed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	addr, _, _ := serve(t)
@@ -123,9 +123,8 @@
 	}
 }
 
-// BenchmarkSweep looks at 1,000 connections with a request in work each, which
-// net/http reads.
-func BenchmarkSweep(b *testing.B) {
+// BenchmarkCheckDisconnects checks 1,000 watched connections that net/http is reading.
+func BenchmarkCheckDisconnects(b *testing.B) {
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -133,8 +132,8 @@
 	defer func() { _ = raw.Close() }()
 	ln := NewListener(raw)
 	for range 1000 {
-		c := &Conn{l: ln}
-		c.reading.Lock()
+		c := &Conn{listener: ln}
+		c.readMu.Lock()
 		c.Watch(func() {})
 		ln.conns[c] = struct{}{}
 	}
