--- a/fault/fault.go
+++ b/fault/fault.go
@@ -132,12 +132,12 @@
 }
 
 // Run says what is known about the execution of a request that failed.
-type Run uint8
+type Execution uint8
 
 const (
 	// RunNo means that the backend server certainly never saw the request,
 	// so that it may be sent again whatever its kind.
-	RunNo Run = iota
+	RunNo Execution = iota
 	// RunUnknown means that the request may have been executed.
 	RunUnknown
 	// RunYes means that the backend server answered.
@@ -145,7 +145,7 @@
 )
 
 // String returns "no", "unknown" or "yes".
-func (r Run) String() string {
+func (r Execution) String() string {
 	switch r {
 	case RunNo:
 		return "no"
@@ -161,7 +161,7 @@
 	// Code is the kind of failure.
 	Code Code
 	// Run tells whether the request was executed.
-	Run Run
+	Run Execution
 	// RetryAfter is when to come back; zero if the failure is final.
 	RetryAfter time.Duration
 	// Detail is a short sentence for a person.
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -114,7 +114,7 @@
 	Result []byte
 	Code   fault.Code
 	// Run tells whether the command may be applied all the same.
-	Run    fault.Run
+	Run    fault.Execution
 	Detail string
 	// Leader is the control address of the leader as far as known.
 	Leader string
--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -65,7 +65,7 @@
 	// code is fault.None for an answer of the server, which says failed if below is
 	// set.
 	code fault.Code
-	run  fault.Run
+	run  fault.Execution
 	// below is set if a call that the server made failed.
 	below bool
 	// level is what sheds the request, for the time to come back.
--- a/internal/node/life.go
+++ b/internal/node/life.go
@@ -62,7 +62,7 @@
 }
 
 // run returns what is known of the execution.
-func (p *progress) run() fault.Run {
+func (p *progress) run() fault.Execution {
 	switch p.state {
 	case requestRefused:
 		return fault.RunNo
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -439,7 +439,7 @@
 
 // record traces a request that has its answer, and books it on the
 // objective of its kind if it entered here.
-func (n *Node) record(c *call, code fault.Code, run fault.Run) {
+func (n *Node) record(c *call, code fault.Code, run fault.Execution) {
 	took := time.Since(c.started)
 	n.latencies.Observe(c.rank.Class().String(), code.String(), took)
 	if c.depth == 0 {
--- a/internal/node/reqlog.go
+++ b/internal/node/reqlog.go
@@ -63,7 +63,7 @@
 
 // logRequest tells of a request that has its answer: the decision, what it
 // rested on, and the outcome.
-func (n *Node) logRequest(c *call, code fault.Code, run fault.Run, took time.Duration, sampled bool) {
+func (n *Node) logRequest(c *call, code fault.Code, run fault.Execution, took time.Duration, sampled bool) {
 	late := took > c.policyWithin()
 	notable := code != fault.None || c.attempts > 1 || late || c.trail.Len() > 0
 	budget, most := &n.requestLog.plain, int64(plainLines)
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -52,7 +52,7 @@
 	// Code is fault.None if a backend server answered, else the refusal.
 	Code fault.Code
 	// Run tells whether the request was executed.
-	Run fault.Run
+	Run fault.Execution
 	// Status is the HTTP status that the backend server gave.
 	Status uint16
 	// Spent is how much of the lease was used.
@@ -251,7 +251,7 @@
 	d := decoder{s: string(p)}
 	r.Attempt = d.uint64()
 	r.Code = fault.Code(d.byte())
-	r.Run = fault.Run(d.byte())
+	r.Run = fault.Execution(d.byte())
 	r.Spent = d.byte()
 	r.Status = d.uint16()
 	r.Level = rank.Level(d.uint16())
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -35,7 +35,7 @@
 type Failure struct {
 	Code fault.Code
 	// Run tells whether the call may have run.
-	Run fault.Run
+	Run fault.Execution
 	// Chosen tells whether an instance was chosen for the attempt.
 	Chosen bool
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -52,7 +52,7 @@
 		}
 		f := retry.Failure{
 			Code: fault.Code(rapid.IntRange(1, int(fault.Rejected)).Draw(t, "code")), Chosen: rapid.Bool().Draw(t, "chosen"),
-			Run: rapid.SampledFrom([]fault.Run{fault.RunUnknown, fault.RunYes}).Draw(t, "run"),
+			Run: rapid.SampledFrom([]fault.Execution{fault.RunUnknown, fault.RunYes}).Draw(t, "run"),
 		}
 		if retry.Decide(c, f) != retry.GiveUp {
 			t.Fatalf("%+v is sent again after %+v", c, f)
