--- a/fault/fault.go
+++ b/fault/fault.go
@@ -137,7 +137,7 @@
 const (
 	// RunNo means that the backend server certainly never saw the request,
 	// so that it may be sent again whatever its kind.
-	RunNo Execution = iota
+	NotExecuted Execution = iota
 	// RunUnknown means that the request may have been executed.
 	RunUnknown
 	// RunYes means that the backend server answered.
@@ -147,7 +147,7 @@
 // String returns "no", "unknown" or "yes".
 func (r Execution) String() string {
 	switch r {
-	case RunNo:
+	case NotExecuted:
 		return "no"
 	case RunYes:
 		return "yes"
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -138,7 +138,7 @@
 	g.Eventually(func() int { c.mu.Lock(); defer c.mu.Unlock(); return c.open }).Should(gomega.Equal(4))
 	_, ferr := get(c, "/more", time.Second)
 	g.Expect(ferr.Code).To(gomega.Equal(fault.Overload))
-	g.Expect(ferr.Run).To(gomega.Equal(fault.RunNo))
+	g.Expect(ferr.Run).To(gomega.Equal(fault.NotExecuted))
 }
 
 func TestCutOffAnswerIsAnError(t *testing.T) {
@@ -256,7 +256,7 @@
 	_, err = get(c, "/", time.Second)
 	g.Expect(err).NotTo(gomega.BeNil())
 	g.Expect(err.Code).To(gomega.Equal(fault.BackendLost))
-	g.Expect(err.Run).To(gomega.Equal(fault.RunNo))
+	g.Expect(err.Run).To(gomega.Equal(fault.NotExecuted))
 	g.Expect(served.Load()).To(gomega.BeEquivalentTo(1))
 }
 
--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -92,11 +92,11 @@
 	})
 	if c.depth == 0 {
 		if l := n.entered.Level(c.root.Name, p.now); !l.Admits(c.rank, 0) {
-			n.end(c, answer{code: fault.Overload, run: fault.RunNo, level: l})
+			n.end(c, answer{code: fault.Overload, run: fault.NotExecuted, level: l})
 			return
 		}
 	} else if !n.hold(c) {
-		n.end(c, answer{code: fault.ShareSpent, run: fault.RunNo, level: rank.Count / 4})
+		n.end(c, answer{code: fault.ShareSpent, run: fault.NotExecuted, level: rank.Count / 4})
 		return
 	}
 	share := n.share(c.kind.Service)
@@ -167,7 +167,7 @@
 	}
 	in, code := n.routes.Pick(&q, p.rng)
 	if in == nil {
-		n.attempted(c, nil, answer{code: code, run: fault.RunNo, level: rank.Count / 2})
+		n.attempted(c, nil, answer{code: code, run: fault.NotExecuted, level: rank.Count / 2})
 		return
 	}
 	in.Observed.Begin()
@@ -264,8 +264,8 @@
 	if c.ended {
 		return
 	}
-	c.mayHaveRun = c.mayHaveRun || a.run != fault.RunNo
-	if in != nil && (a.offered || a.run != fault.RunNo) && !in.IsAnyOf(c.sentTo) {
+	c.mayHaveRun = c.mayHaveRun || a.run != fault.NotExecuted
+	if in != nil && (a.offered || a.run != fault.NotExecuted) && !in.IsAnyOf(c.sentTo) {
 		c.sentTo = append(c.sentTo, in)
 		c.state.Offered = len(c.sentTo)
 	}
--- a/internal/fleetmodel/play.go
+++ b/internal/fleetmodel/play.go
@@ -182,7 +182,7 @@
 func (p *play) ask(r *request) {
 	n := p.entry()
 	if n == nil {
-		p.res.ended(r, answer{code: fault.NoBackend, run: fault.RunNo}, p.now)
+		p.res.ended(r, answer{code: fault.NoBackend, run: fault.NotExecuted}, p.now)
 		return
 	}
 	c := &call{
@@ -213,7 +213,7 @@
 
 // answered ends an attempt of a caller.
 func (p *play) answered(r *request, a answer) {
-	again := r.left > 0 && (a.run == fault.RunNo || r.kind.Idempotent)
+	again := r.left > 0 && (a.run == fault.NotExecuted || r.kind.Idempotent)
 	if a.ok() || !again {
 		p.res.ended(r, a, p.now)
 		return
--- a/internal/fleetmodel/result.go
+++ b/internal/fleetmodel/result.go
@@ -95,7 +95,7 @@
 	case a.ok():
 		k.Late++
 		worth = q.kind.Late
-	case a.code != fault.None && a.run == fault.RunNo:
+	case a.code != fault.None && a.run == fault.NotExecuted:
 		k.Refused++
 		k.Reasons[a.code]++
 	default:
--- a/internal/fleetmodel/work.go
+++ b/internal/fleetmodel/work.go
@@ -67,7 +67,7 @@
 }
 
 func (w *work) refuse(code fault.Code) {
-	w.end(answer{code: code, run: fault.RunNo, level: w.n.guard.Level()})
+	w.end(answer{code: code, run: fault.NotExecuted, level: w.n.guard.Level()})
 }
 
 // start runs the work in a slot.
@@ -78,7 +78,7 @@
 	if p.rng.Float64() < n.server.shed {
 		// The server's own word comes back at once.
 		w.release(admission.Outcome{Pushback: true})
-		w.end(answer{code: fault.Rejected, run: fault.RunNo, offered: true, report: route.Outcome{Rejected: true}})
+		w.end(answer{code: fault.Rejected, run: fault.NotExecuted, offered: true, report: route.Outcome{Rejected: true}})
 		return
 	}
 	p.after(n.server.time(p.rng, w.call.kind.Kind), func() {
--- a/internal/node/document.go
+++ b/internal/node/document.go
@@ -55,7 +55,7 @@
 		}
 		b, ferr := n.submit(configGroup, encode(&change), time.Until(deadline))
 		if ferr != nil {
-			if maybe && ferr.Run == fault.RunNo {
+			if maybe && ferr.Run == fault.NotExecuted {
 				ferr.Run = fault.RunUnknown
 			}
 			return confstore.Result{}, ferr
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -64,7 +64,7 @@
 		if brokeInWork(ferr) {
 			c.broken++
 		}
-		c.mayHaveRun = c.mayHaveRun || ferr == nil || ferr.Run != fault.RunNo
+		c.mayHaveRun = c.mayHaveRun || ferr == nil || ferr.Run != fault.NotExecuted
 		c.noteOffer(in, ferr)
 		if ferr == nil && !n.badAnswer(c, a) {
 			return n.answered(c, a)
@@ -219,7 +219,7 @@
 
 // noteOffer remembers the instances whose backend servers were offered the call.
 func (c *call) noteOffer(in *route.Instance, e *fault.Error) {
-	offered := e == nil || e.Run != fault.RunNo || e.Code == fault.Rejected
+	offered := e == nil || e.Run != fault.NotExecuted || e.Code == fault.Rejected
 	if in != nil && offered && !in.IsAnyOf(c.sentTo) {
 		c.sentTo = append(c.sentTo, in)
 	}
@@ -343,7 +343,7 @@
 		if instanceFailed(nil, ferr) {
 			n.noteFailure(in, ferr)
 		}
-		if ferr.Code == fault.PeerSilent || ferr.Code == fault.PeerLost && ferr.Run == fault.RunNo {
+		if ferr.Code == fault.PeerSilent || ferr.Code == fault.PeerLost && ferr.Run == fault.NotExecuted {
 			n.peers.lose(in.Addr, in.Observed)
 		}
 		return nil, ferr
--- a/internal/node/life.go
+++ b/internal/node/life.go
@@ -65,7 +65,7 @@
 func (p *progress) run() fault.Execution {
 	switch p.state {
 	case requestRefused:
-		return fault.RunNo
+		return fault.NotExecuted
 	case requestUnknown:
 		return fault.RunUnknown
 	default:
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -91,7 +91,7 @@
 			out.Took, out.Expired = time.Since(started), true
 		}
 		n.gate.leave(out)
-		if ferr.Run == fault.RunNo {
+		if ferr.Run == fault.NotExecuted {
 			p.happen(requestNotSent)
 		} else {
 			p.happen(requestLose)
@@ -273,7 +273,7 @@
 // brokeInWork tells whether a backend server was lost that may have been running the
 // request. e may be nil.
 func brokeInWork(e *fault.Error) bool {
-	return e != nil && e.Code == fault.BackendLost && e.Run != fault.RunNo
+	return e != nil && e.Code == fault.BackendLost && e.Run != fault.NotExecuted
 }
 
 // kindTable gives each request kind a small number.
--- a/internal/node/once.go
+++ b/internal/node/once.go
@@ -103,7 +103,7 @@
 	if ferr == nil {
 		return res, nil
 	}
-	if ferr.Run != fault.RunNo {
+	if ferr.Run != fault.NotExecuted {
 		go o.release()
 	}
 	// Nothing was sent to a backend server on this token.
@@ -133,7 +133,7 @@
 func (o *once) run(w http.ResponseWriter) {
 	a, ferr := o.n.dispatch(o.c)
 	if ferr != nil {
-		if ferr.Run == fault.RunNo {
+		if ferr.Run == fault.NotExecuted {
 			o.release()
 		}
 		o.n.refuse(w, o.c, ferr)
--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -244,7 +244,7 @@
 	g.Expect(poison.reasons).To(gomega.HaveKey("quarantined"))
 	g.Expect(poison.last.Reason).To(gomega.Equal("quarantined"))
 	g.Expect(poison.last.Status).To(gomega.Equal(http.StatusServiceUnavailable))
-	g.Expect(poison.last.Run).To(gomega.Equal(fault.RunNo.String()))
+	g.Expect(poison.last.Run).To(gomega.Equal(fault.NotExecuted.String()))
 	g.Expect(poison.last.RetryAfterMs).To(gomega.BeNumerically(">", 0))
 }
 
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -90,7 +90,7 @@
 	found := false
 	open := n.askLeader(id, wait, ask, func(a leaderAnswer) bool {
 		if a.err != nil {
-			maybe = maybe || fault.From(a.err).Run != fault.RunNo
+			maybe = maybe || fault.From(a.err).Run != fault.NotExecuted
 			return false
 		}
 		reply := a.reply.(*control.SubmitReply)
@@ -101,7 +101,7 @@
 			return false
 		case fault.NoQuorum, fault.Overload:
 			// A refusal would be untrue where an earlier question may yet be taken.
-			maybe = maybe || reply.Run != fault.RunNo
+			maybe = maybe || reply.Run != fault.NotExecuted
 			return false
 		default:
 			refused = fault.New(reply.Code, reply.Detail)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -218,7 +218,7 @@
 func TestNothingListensIsNotRun(t *testing.T) {
 	g := gomega.NewWithT(t)
 	_, _, ferr := send(client("127.0.0.1:1"), "x", nil, time.Second)
-	g.Expect(ferr.Run).To(gomega.Equal(fault.RunNo))
+	g.Expect(ferr.Run).To(gomega.Equal(fault.NotExecuted))
 }
 
 func FuzzDecodeRequest(f *testing.F) {
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -61,11 +61,11 @@
 	switch {
 	case !c.Replayable:
 		return GiveUp
-	case f.Code != fault.None && f.Run != fault.RunNo && !c.Idempotent:
+	case f.Code != fault.None && f.Run != fault.NotExecuted && !c.Idempotent:
 		return GiveUp
 	case f.Code != fault.None && !helps(c, f):
 		return GiveUp
-	case f.Code == fault.BackendLost && f.Run != fault.RunNo && c.Ends > maxEnds:
+	case f.Code == fault.BackendLost && f.Run != fault.NotExecuted && c.Ends > maxEnds:
 		return GiveUp
 	case neverOffered(f) && c.Free < maxFree:
 		return Free
@@ -98,7 +98,7 @@
 // neverOffered tells whether a failed attempt certainly ended before any backend
 // server, so that trying another makes no load for any.
 func neverOffered(f Failure) bool {
-	if f.Code == fault.None || f.Run != fault.RunNo {
+	if f.Code == fault.None || f.Run != fault.NotExecuted {
 		return false
 	}
 	switch f.Code {
