--- a/fault/fault.go
+++ b/fault/fault.go
@@ -139,7 +139,7 @@
 	// so that it may be sent again whatever its kind.
 	NotExecuted Execution = iota
 	// RunUnknown means that the request may have been executed.
-	RunUnknown
+	ExecutionUnknown
 	// RunYes means that the backend server answered.
 	RunYes
 )
@@ -187,7 +187,7 @@
 
 // Unknown marks the failure as one after which the request may have run.
 func (e *Error) Unknown() *Error {
-	e.Run = RunUnknown
+	e.Run = ExecutionUnknown
 	return e
 }
 
@@ -214,7 +214,7 @@
 	if errors.As(err, &e) {
 		return e
 	}
-	return &Error{Code: Internal, Run: RunUnknown, Detail: "unexpected failure", Cause: err}
+	return &Error{Code: Internal, Run: ExecutionUnknown, Detail: "unexpected failure", Cause: err}
 }
 
 // CodeOf returns the code of err; None for nil.
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -78,7 +78,7 @@
 	_, ferr := get(c, "/b", 10*time.Second)
 	g.Expect(ferr).NotTo(gomega.BeNil())
 	g.Expect(ferr.Code).To(gomega.Equal(fault.PeerSilent))
-	g.Expect(ferr.Run).To(gomega.Equal(fault.RunUnknown))
+	g.Expect(ferr.Run).To(gomega.Equal(fault.ExecutionUnknown))
 	g.Expect(time.Since(started)).To(gomega.BeNumerically("<", time.Second))
 	body, ferr := get(c, "/c", time.Second)
 	g.Expect(ferr).To(gomega.BeNil())
@@ -228,7 +228,7 @@
 			continue
 		}
 		g.Expect(ferr.Code).To(gomega.Equal(fault.PeerSilent))
-		g.Expect(ferr.Run).To(gomega.Equal(fault.RunUnknown))
+		g.Expect(ferr.Run).To(gomega.Equal(fault.ExecutionUnknown))
 	}
 	g.Expect(answered).To(gomega.BeNumerically(">=", slots+queue))
 	g.Expect(time.Since(started)).To(gomega.BeNumerically("<", 5*time.Second))
--- a/internal/backend/foreign_test.go
+++ b/internal/backend/foreign_test.go
@@ -77,7 +77,7 @@
 	req := request("/x", nil)
 	_, err := c.Do(scope.New(time.Now().Add(300*time.Millisecond)), Traits{Kind: 1, Idempotent: true}, req, func(*http.Response) bool { return false })
 	e := fault.From(err)
-	g.Expect(e.Run).To(gomega.Equal(fault.RunUnknown))
+	g.Expect(e.Run).To(gomega.Equal(fault.ExecutionUnknown))
 }
 
 func TestKeepAliveBoundsTheTrustInAnIdleConnection(t *testing.T) {
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -70,7 +70,7 @@
 		code, _ := fault.ParseCode(p.Reason)
 		e := fault.New(code, p.Detail)
 		if p.Run != fault.NotExecuted.String() {
-			e.Run = fault.RunUnknown
+			e.Run = fault.ExecutionUnknown
 		}
 		return e
 	}
--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -87,7 +87,7 @@
 	boot := n.boot
 	p.after(c.deadline-p.now, func() {
 		if n.boot == boot {
-			n.end(c, answer{code: fault.Deadline, run: fault.RunUnknown})
+			n.end(c, answer{code: fault.Deadline, run: fault.ExecutionUnknown})
 		}
 	})
 	if c.depth == 0 {
@@ -142,7 +142,7 @@
 		c.cancel()
 	}
 	if c.mayHaveRun && a.code != fault.None {
-		a.run = fault.RunUnknown
+		a.run = fault.ExecutionUnknown
 	}
 	delete(n.callers, c)
 	if c.waits != nil {
@@ -233,7 +233,7 @@
 	}
 	silent := func() {
 		p.after(p.fleet.Policy.Silence, func() {
-			back(answer{code: fault.PeerSilent, run: fault.RunUnknown, report: route.Outcome{Failed: true}})
+			back(answer{code: fault.PeerSilent, run: fault.ExecutionUnknown, report: route.Outcome{Failed: true}})
 		})
 	}
 	p.after(way, func() {
--- a/internal/fleetmodel/play.go
+++ b/internal/fleetmodel/play.go
@@ -195,7 +195,7 @@
 	// A caller whose node lost power finds out at once.
 	n.callers[c] = func() {
 		c.ended = true
-		p.answered(r, answer{code: fault.PeerLost, run: fault.RunUnknown})
+		p.answered(r, answer{code: fault.PeerLost, run: fault.ExecutionUnknown})
 	}
 	n.begin(c)
 }
--- a/internal/fleetmodel/work.go
+++ b/internal/fleetmodel/work.go
@@ -195,8 +195,8 @@
 	}
 	if w.open != nil {
 		w.open.done = func(answer) {}
-		w.n.end(w.open, answer{code: fault.Canceled, run: fault.RunUnknown})
+		w.n.end(w.open, answer{code: fault.Canceled, run: fault.ExecutionUnknown})
 	}
 	w.release(admission.Outcome{Kind: w.call.kind.index, Took: w.n.p.now - w.since, Expired: true})
-	w.end(answer{code: fault.Canceled, run: fault.RunUnknown})
+	w.end(answer{code: fault.Canceled, run: fault.ExecutionUnknown})
 }
--- a/internal/node/document.go
+++ b/internal/node/document.go
@@ -56,7 +56,7 @@
 		b, ferr := n.submit(configGroup, encode(&change), time.Until(deadline))
 		if ferr != nil {
 			if maybe && ferr.Run == fault.NotExecuted {
-				ferr.Run = fault.RunUnknown
+				ferr.Run = fault.ExecutionUnknown
 			}
 			return confstore.Result{}, ferr
 		}
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -285,7 +285,7 @@
 	w.WriteHeader(a.status)
 	if err := copyBody(w, a.body); err != nil {
 		n.stats.cut.Add(1)
-		n.record(c, fault.PeerLost, fault.RunUnknown)
+		n.record(c, fault.PeerLost, fault.ExecutionUnknown)
 		panic(http.ErrAbortHandler)
 	}
 	n.quarantine.answered(c)
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -75,7 +75,7 @@
 			}
 			if c.mayHaveRun {
 				// An earlier attempt may have run, whatever the last one says.
-				ferr.Run = fault.RunUnknown
+				ferr.Run = fault.ExecutionUnknown
 			}
 			return nil, ferr
 		}
--- a/internal/node/life.go
+++ b/internal/node/life.go
@@ -67,7 +67,7 @@
 	case requestRefused:
 		return fault.NotExecuted
 	case requestUnknown:
-		return fault.RunUnknown
+		return fault.ExecutionUnknown
 	default:
 		return fault.RunYes
 	}
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -116,7 +116,7 @@
 	}
 	a.header = keepRun(a.header, resp.Header)
 	if n.opt.Edge != nil && resp.StatusCode >= http.StatusInternalServerError && w.failedBelow.Load() {
-		a.header = append(a.header, wireField{Name: HeaderRun, Value: fault.RunUnknown.String()})
+		a.header = append(a.header, wireField{Name: HeaderRun, Value: fault.ExecutionUnknown.String()})
 	}
 	a.close = func() {
 		if resp.Whole() {
--- a/internal/node/once.go
+++ b/internal/node/once.go
@@ -54,7 +54,7 @@
 			ferr.RetryAfter = retry.ComeBack(0, rand.Float64())
 		}
 		if res.Verdict == claims.Running || res.Verdict == claims.Unknown {
-			ferr.Run = fault.RunUnknown
+			ferr.Run = fault.ExecutionUnknown
 		}
 		n.refuse(w, c, ferr)
 	}
--- a/internal/node/restart_test.go
+++ b/internal/node/restart_test.go
@@ -152,7 +152,7 @@
 	var r result
 	g.Eventually(done, 3*time.Second).Should(gomega.Receive(&r))
 	g.Expect(r.problem().Reason).To(gomega.Equal(fault.BackendLost.String()))
-	g.Expect(r.problem().Run).To(gomega.Equal(fault.RunUnknown.String()), "it may have run")
+	g.Expect(r.problem().Run).To(gomega.Equal(fault.ExecutionUnknown.String()), "it may have run")
 	g.Expect(n.gate.load().inflight).To(gomega.BeZero())
 	g.Eventually(func() bool {
 		svc := n.routes.Load().Services["f/s"]
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -152,7 +152,7 @@
 	ferr = <-failed
 	g.Expect(ferr).NotTo(gomega.BeNil())
 	g.Expect(ferr.Code).To(gomega.Equal(fault.PeerSilent))
-	g.Expect(ferr.Run).To(gomega.Equal(fault.RunUnknown))
+	g.Expect(ferr.Run).To(gomega.Equal(fault.ExecutionUnknown))
 	g.Expect(time.Since(started)).To(gomega.BeNumerically("<", 3*silence))
 
 	_, body, ferr := send(c, "next", []byte("y"), time.Second)
