--- a/fault/fault.go
+++ b/fault/fault.go
@@ -141,7 +141,7 @@
 	// RunUnknown means that the request may have been executed.
 	ExecutionUnknown
 	// RunYes means that the backend server answered.
-	RunYes
+	Executed
 )
 
 // String returns "no", "unknown" or "yes".
@@ -149,7 +149,7 @@
 	switch r {
 	case NotExecuted:
 		return "no"
-	case RunYes:
+	case Executed:
 		return "yes"
 	default:
 		return "unknown"
--- a/internal/fleetmodel/work.go
+++ b/internal/fleetmodel/work.go
@@ -138,7 +138,7 @@
 		delete(p.works, w)
 		return
 	}
-	w.end(answer{run: fault.RunYes, below: w.failed, offered: true})
+	w.end(answer{run: fault.Executed, below: w.failed, offered: true})
 }
 
 // release frees the slot and starts who waited for it.
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -289,7 +289,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	n.quarantine.answered(c)
-	n.record(c, fault.None, fault.RunYes)
+	n.record(c, fault.None, fault.Executed)
 }
 
 // copyBuffers are the buffers of answers on their way to callers.
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -390,7 +390,7 @@
 		return
 	}
 	defer a.close()
-	reply.Run = fault.RunYes
+	reply.Run = fault.Executed
 	reply.Status = uint16(a.status)
 	reply.Header = a.header
 	reply.BodyLen = a.length
--- a/internal/node/life.go
+++ b/internal/node/life.go
@@ -69,7 +69,7 @@
 	case requestUnknown:
 		return fault.ExecutionUnknown
 	default:
-		return fault.RunYes
+		return fault.Executed
 	}
 }
 
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -35,7 +35,7 @@
 		"its time is over":                       {idempotent, retry.Failure{Code: fault.Deadline, Run: fault.ExecutionUnknown, Chosen: true}, retry.GiveUp},
 		"offered to as many as may be, rejected": {with(func(c *retry.Call) { c.Offered, c.OfferMax = 2, 2 }), retry.Failure{Code: fault.Rejected, Chosen: true}, retry.Paid},
 		"offered to as many as may be, lost":     {with(func(c *retry.Call) { c.Offered, c.OfferMax, c.Idempotent = 2, 2, true }), retry.Failure{Code: fault.BackendLost, Run: fault.ExecutionUnknown, Chosen: true}, retry.GiveUp},
-		"an answer that says failed":             {idempotent, retry.Failure{Run: fault.RunYes, Chosen: true}, retry.Paid},
+		"an answer that says failed":             {idempotent, retry.Failure{Run: fault.Executed, Chosen: true}, retry.Paid},
 	} {
 		t.Run(name, func(t *testing.T) {
 			NewWithT(t).Expect(retry.Decide(x.call, x.f)).To(Equal(x.want))
@@ -52,7 +52,7 @@
 		}
 		f := retry.Failure{
 			Code: fault.Code(rapid.IntRange(1, int(fault.Rejected)).Draw(t, "code")), Chosen: rapid.Bool().Draw(t, "chosen"),
-			Run: rapid.SampledFrom([]fault.Execution{fault.ExecutionUnknown, fault.RunYes}).Draw(t, "run"),
+			Run: rapid.SampledFrom([]fault.Execution{fault.ExecutionUnknown, fault.Executed}).Draw(t, "run"),
 		}
 		if retry.Decide(c, f) != retry.GiveUp {
 			t.Fatalf("%+v is sent again after %+v", c, f)
