--- a/cmd/umberthreadd/main.go
+++ b/cmd/umberthreadd/main.go
@@ -62,7 +62,7 @@
 	}
 	<-stop
 	if !n.Stop() {
-		return fault.New(fault.Deadline, "requests were still in flight when the stop timed out").Unknown()
+		return fault.New(fault.Deadline, "requests were still in flight when the stop timed out").WithUnknownExecution()
 	}
 	return nil
 }
--- a/fault/fault.go
+++ b/fault/fault.go
@@ -186,7 +186,7 @@
 }
 
 // Unknown marks the failure as one after which the request may have run.
-func (e *Error) Unknown() *Error {
+func (e *Error) WithUnknownExecution() *Error {
 	e.Run = ExecutionUnknown
 	return e
 }
--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -153,7 +153,7 @@
 		return nil, c.explain(s, err, "sending to")
 	}
 	if s.Err() != fault.None {
-		return nil, fault.New(s.Err(), "given up while waiting").Unknown()
+		return nil, fault.New(s.Err(), "given up while waiting").WithUnknownExecution()
 	}
 	sent := time.Now()
 	times := &c.times[t.Kind%MaxKinds]
@@ -174,7 +174,7 @@
 			return resp, nil
 		}
 		if foreign++; foreign > maxForeign || !passOver(resp) {
-			return nil, fault.New(fault.Protocol, "the answer belongs to another request").Unknown()
+			return nil, fault.New(fault.Protocol, "the answer belongs to another request").WithUnknownExecution()
 		}
 	}
 }
@@ -216,7 +216,7 @@
 		}
 		_ = cn.SetReadDeadline(wait)
 		if s.Err() != fault.None {
-			return fault.New(s.Err(), "given up while waiting").Unknown()
+			return fault.New(s.Err(), "given up while waiting").WithUnknownExecution()
 		}
 		_, err := cn.br.Peek(1)
 		if err == nil {
@@ -227,10 +227,10 @@
 			return c.explain(s, err, "reading from")
 		}
 		if !c.Reachable() {
-			return fault.New(fault.BackendLost, "the backend server no longer takes connections").Unknown()
+			return fault.New(fault.BackendLost, "the backend server no longer takes connections").WithUnknownExecution()
 		}
 		if idempotent && t.silent(time.Since(start)) {
-			return fault.New(fault.PeerSilent, "no answer on this connection long after others were answered").Unknown()
+			return fault.New(fault.PeerSilent, "no answer on this connection long after others were answered").WithUnknownExecution()
 		}
 	}
 }
@@ -247,9 +247,9 @@
 
 func (c *Client) explain(s *scope.Scope, err error, doing string) *fault.Error {
 	if code := s.Err(); code != fault.None {
-		return fault.New(code, "given up while waiting for the backend server").Unknown()
+		return fault.New(code, "given up while waiting for the backend server").WithUnknownExecution()
 	}
-	return fault.Wrap(fault.BackendLost, err, doing+" the backend server").Unknown()
+	return fault.Wrap(fault.BackendLost, err, doing+" the backend server").WithUnknownExecution()
 }
 
 // get returns an open idle connection or a new one. The declared number of
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -241,10 +241,10 @@
 			closed = true
 			p.drop(addr, c)
 		}
-		return closed, fault.Wrap(fault.PeerLost, call.Error, method+" at "+addr).Unknown()
+		return closed, fault.Wrap(fault.PeerLost, call.Error, method+" at "+addr).WithUnknownExecution()
 	case <-t.C:
 		p.drop(addr, c)
-		return false, fault.New(fault.PeerSilent, "no answer to "+method+" from "+addr).Unknown()
+		return false, fault.New(fault.PeerSilent, "no answer to "+method+" from "+addr).WithUnknownExecution()
 	}
 }
 
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -50,7 +50,7 @@
 	}
 	resp, err := c.http.Post("http://"+c.Admin+path, "application/json", bytes.NewReader(b))
 	if err != nil {
-		return fault.Wrap(fault.PeerLost, err, "the node at "+c.Admin+" does not answer").Unknown()
+		return fault.Wrap(fault.PeerLost, err, "the node at "+c.Admin+" does not answer").WithUnknownExecution()
 	}
 	return read(resp, v)
 }
@@ -60,7 +60,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	b, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return fault.Wrap(fault.PeerLost, err, "the answer broke off").Unknown()
+		return fault.Wrap(fault.PeerLost, err, "the answer broke off").WithUnknownExecution()
 	}
 	if resp.Header.Get("Content-Type") == "application/problem+json" {
 		var p node.Problem
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -353,7 +353,7 @@
 	}
 	var res confstore.Result
 	if err := msgpack.Unmarshal(b, &res); err != nil {
-		writeRefusal(w, req.ID, fault.Wrap(fault.Internal, err, "malformed result of a change").Unknown())
+		writeRefusal(w, req.ID, fault.Wrap(fault.Internal, err, "malformed result of a change").WithUnknownExecution())
 		return
 	}
 	if res.Code != fault.None {
--- a/internal/node/document.go
+++ b/internal/node/document.go
@@ -62,7 +62,7 @@
 		}
 		var res confstore.Result
 		if err := msgpack.Unmarshal(b, &res); err != nil {
-			return res, fault.Wrap(fault.Internal, err, "malformed result of a change").Unknown()
+			return res, fault.Wrap(fault.Internal, err, "malformed result of a change").WithUnknownExecution()
 		}
 		stale := res.Code == fault.Conflict && res.Revision == r.Base && res.Revision < r.Revision
 		if !stale || time.Now().After(deadline) {
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -134,7 +134,7 @@
 			code = known
 		}
 	}
-	e := fault.New(code, "refused further down: "+p.Detail).Unknown()
+	e := fault.New(code, "refused further down: "+p.Detail).WithUnknownExecution()
 	return nil, e.After(time.Duration(p.RetryAfterMs) * time.Millisecond)
 }
 
--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -396,16 +396,16 @@
 			return s.result, s.err
 		}
 	case <-t.C:
-		return nil, fault.New(fault.NoQuorum, "the replica did not answer in time").Unknown()
+		return nil, fault.New(fault.NoQuorum, "the replica did not answer in time").WithUnknownExecution()
 	}
 	select {
 	case result, ok := <-done:
 		if !ok {
-			return nil, fault.New(fault.NoQuorum, "the leader changed").Unknown()
+			return nil, fault.New(fault.NoQuorum, "the leader changed").WithUnknownExecution()
 		}
 		return result, nil
 	case <-t.C:
-		return nil, fault.New(fault.NoQuorum, "no quorum confirmed the command in time").Unknown()
+		return nil, fault.New(fault.NoQuorum, "no quorum confirmed the command in time").WithUnknownExecution()
 	}
 }
 
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -131,7 +131,7 @@
 	if n.opt.Edge != nil && c.method != http.MethodHead {
 		if err := a.readWhole(); err != nil {
 			a.close()
-			return nil, fault.Wrap(fault.BackendLost, err, "the answer broke off").Unknown()
+			return nil, fault.Wrap(fault.BackendLost, err, "the answer broke off").WithUnknownExecution()
 		}
 	}
 	return a, nil
--- a/internal/node/once.go
+++ b/internal/node/once.go
@@ -87,7 +87,7 @@
 		return res, ferr
 	}
 	if err := msgpack.Unmarshal(b, &res); err != nil {
-		return res, fault.Wrap(fault.Internal, err, "malformed result of a claim").Unknown()
+		return res, fault.Wrap(fault.Internal, err, "malformed result of a claim").WithUnknownExecution()
 	}
 	return res, nil
 }
@@ -142,7 +142,7 @@
 	body, err := io.ReadAll(a.body)
 	a.close()
 	if err != nil {
-		ferr := fault.From(err).Unknown()
+		ferr := fault.From(err).WithUnknownExecution()
 		ferr.Code = fault.OutcomeUnknown
 		o.n.refuse(w, o.c, ferr)
 		return
@@ -169,7 +169,7 @@
 // replay answers from the stored outcome of an earlier run.
 func (n *Node) replay(w http.ResponseWriter, c *call, out *claims.Outcome) {
 	if out == nil {
-		n.refuse(w, c, fault.New(fault.Internal, "the stored outcome is empty").Unknown())
+		n.refuse(w, c, fault.New(fault.Internal, "the stored outcome is empty").WithUnknownExecution())
 		return
 	}
 	if out.Truncated {
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -114,7 +114,7 @@
 	case refused != nil:
 		return nil, refused
 	case maybe || open > 0:
-		return nil, fault.New(fault.NoQuorum, "no quorum confirmed in time").Unknown()
+		return nil, fault.New(fault.NoQuorum, "no quorum confirmed in time").WithUnknownExecution()
 	default:
 		return nil, fault.New(fault.NoQuorum, "no replica can be reached")
 	}
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -151,12 +151,12 @@
 		return nil, c.explain(s, err)
 	}
 	if a.Reply.Attempt != req.Attempt {
-		return nil, fault.New(fault.Protocol, "answer belongs to another request").Unknown()
+		return nil, fault.New(fault.Protocol, "answer belongs to another request").WithUnknownExecution()
 	}
 	a.body = newBodyReader(conn.link, a.Reply.BodyLen, before)
 	a.Body = a.body
 	if err := s.Err(); err != fault.None {
-		return nil, fault.New(err, "given up while waiting").Unknown()
+		return nil, fault.New(err, "given up while waiting").WithUnknownExecution()
 	}
 	return a, nil
 }
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -265,7 +265,7 @@
 	buf, at := beginFrame(c.out[:0])
 	buf = r.append(buf)
 	if len(buf)-at-frameHeader > MaxHead {
-		return fault.New(fault.TooLarge, "the answer's header fields are too large").Unknown()
+		return fault.New(fault.TooLarge, "the answer's header fields are too large").WithUnknownExecution()
 	}
 	endFrame(buf, at, frameReply)
 	if whole != nil {
