--- a/fault/fault.go
+++ b/fault/fault.go
@@ -1,8 +1,8 @@
-// Package fault defines the typed failures that umberthread reports.
+// Package fault defines the typed errors of the project.
 //
-// Every failure that leaves a package is a *Error with a Code. The code
-// decides the HTTP status, the exit code of the command-line tool, whether
-// the request may be sent again, and what is claimed about its execution.
+// Every failure that leaves a package is an *Error with a Code. The code determines the
+// HTTP status, the exit code of the command-line tool and whether the request may be
+// retried.
 package fault
 
 import (
@@ -13,134 +13,167 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Code names one kind of failure.
+// Code identifies a kind of failure.
 type Code uint8
 
-// The failure codes. The zero Code means no failure.
+// The failure codes. None is the zero value and means no failure.
 const (
 	None Code = iota
+	// Overload means that the request was shed because of overload.
 	Overload
+	// QueueTimeout means that the request waited too long in a queue.
 	QueueTimeout
+	// Deadline means that the deadline expired.
 	Deadline
+	// NoBackend means that no backend server is available.
 	NoBackend
+	// Draining means that the node or its backend server is shutting down.
 	Draining
+	// Starting means that the node or its backend server is not ready yet.
 	Starting
-	BudgetSpent
+	// RetryBudgetSpent means that the retry budget is exhausted.
+	RetryBudgetSpent
+	// ShareSpent means that too many requests at the node already wait on the service.
 	ShareSpent
+	// Canceled means that the request or operation was canceled.
 	Canceled
+	// PeerLost means that the connection to a peer failed.
 	PeerLost
+	// PeerSilent means that a peer stopped responding.
 	PeerSilent
+	// BackendLost means that the connection to the backend server failed.
 	BackendLost
+	// BadRequest means that the request is malformed.
 	BadRequest
+	// TooLarge means that the request exceeds a size limit.
 	TooLarge
+	// UnknownService means that the settings do not define the service.
 	UnknownService
+	// UnknownKind means that the settings do not define the request kind.
 	UnknownKind
+	// KeyRequired means that the request lacks an idempotency key.
 	KeyRequired
+	// KeyExpired means that the idempotency key is too old.
 	KeyExpired
+	// KeyRunning means that another attempt with the idempotency key is in progress.
 	KeyRunning
+	// KeyMismatch means that the idempotency key was used for a different request.
 	KeyMismatch
+	// OutcomeUnknown means that the request may have been executed, and is not run again.
 	OutcomeUnknown
+	// Conflict means that the operation conflicts with the current state.
 	Conflict
+	// NotLeader means that the replica is not the leader of its group.
 	NotLeader
+	// NoQuorum means that no quorum of replicas confirmed the operation.
 	NoQuorum
+	// Corrupt means that stored data is corrupt.
 	Corrupt
+	// Protocol means that a peer violated the protocol.
 	Protocol
+	// InvalidSetting means that a setting is invalid.
 	InvalidSetting
+	// NotFound means that the requested item does not exist.
 	NotFound
+	// Internal means an unexpected failure.
 	Internal
+	// Rejected means that the backend server rejected the request.
 	Rejected
+	// Quarantined means that requests like this one terminated several backend servers.
 	Quarantined
-	codeCount
+	numCodes
 )
 
-type codeInfo struct {
-	slug   string
-	status int
-	exit   int
-}
-
-var infos = [codeCount]codeInfo{
-	None:           {"none", http.StatusOK, 0},
-	Overload:       {"overload", http.StatusServiceUnavailable, 10},
-	QueueTimeout:   {"queue-timeout", http.StatusServiceUnavailable, 10},
-	Deadline:       {"deadline", http.StatusGatewayTimeout, 11},
-	NoBackend:      {"no-backend", http.StatusServiceUnavailable, 12},
-	Draining:       {"draining", http.StatusServiceUnavailable, 12},
-	Starting:       {"starting", http.StatusServiceUnavailable, 12},
-	BudgetSpent:    {"retry-budget-spent", http.StatusServiceUnavailable, 13},
-	ShareSpent:     {"share-spent", http.StatusServiceUnavailable, 10},
-	Canceled:       {"canceled", 499, 14},
-	PeerLost:       {"peer-lost", http.StatusBadGateway, 15},
-	PeerSilent:     {"peer-silent", http.StatusBadGateway, 15},
-	BackendLost:    {"backend-lost", http.StatusBadGateway, 15},
-	BadRequest:     {"bad-request", http.StatusBadRequest, 2},
-	TooLarge:       {"too-large", http.StatusRequestEntityTooLarge, 2},
-	UnknownService: {"unknown-service", http.StatusNotFound, 4},
-	UnknownKind:    {"unknown-kind", http.StatusNotFound, 4},
-	KeyRequired:    {"key-required", http.StatusBadRequest, 2},
-	KeyExpired:     {"key-expired", http.StatusConflict, 5},
-	KeyRunning:     {"key-running", http.StatusConflict, 5},
-	KeyMismatch:    {"key-mismatch", http.StatusUnprocessableEntity, 5},
-	OutcomeUnknown: {"outcome-unknown", http.StatusConflict, 6},
-	Conflict:       {"conflict", http.StatusConflict, 5},
-	NotLeader:      {"not-leader", http.StatusServiceUnavailable, 7},
-	NoQuorum:       {"no-quorum", http.StatusServiceUnavailable, 7},
-	Corrupt:        {"corrupt", http.StatusInternalServerError, 8},
-	Protocol:       {"protocol", http.StatusBadGateway, 8},
-	InvalidSetting: {"invalid-setting", http.StatusUnprocessableEntity, 3},
-	NotFound:       {"not-found", http.StatusNotFound, 4},
-	Internal:       {"internal", http.StatusInternalServerError, 1},
-	Rejected:       {"rejected", http.StatusServiceUnavailable, 10},
-	Quarantined:    {"quarantined", http.StatusServiceUnavailable, 16},
-}
-
-// String returns the code's name as it appears in refusals and metrics.
+// codeProperties holds the name, HTTP status and exit code of a code.
+type codeProperties struct {
+	slug       string
+	httpStatus int
+	exitCode   int
+}
+
+var codeTable = [numCodes]codeProperties{
+	None:             {"none", http.StatusOK, 0},
+	Overload:         {"overload", http.StatusServiceUnavailable, 10},
+	QueueTimeout:     {"queue-timeout", http.StatusServiceUnavailable, 10},
+	Deadline:         {"deadline", http.StatusGatewayTimeout, 11},
+	NoBackend:        {"no-backend", http.StatusServiceUnavailable, 12},
+	Draining:         {"draining", http.StatusServiceUnavailable, 12},
+	Starting:         {"starting", http.StatusServiceUnavailable, 12},
+	RetryBudgetSpent: {"retry-budget-spent", http.StatusServiceUnavailable, 13},
+	ShareSpent:       {"share-spent", http.StatusServiceUnavailable, 10},
+	Canceled:         {"canceled", 499, 14},
+	PeerLost:         {"peer-lost", http.StatusBadGateway, 15},
+	PeerSilent:       {"peer-silent", http.StatusBadGateway, 15},
+	BackendLost:      {"backend-lost", http.StatusBadGateway, 15},
+	BadRequest:       {"bad-request", http.StatusBadRequest, 2},
+	TooLarge:         {"too-large", http.StatusRequestEntityTooLarge, 2},
+	UnknownService:   {"unknown-service", http.StatusNotFound, 4},
+	UnknownKind:      {"unknown-kind", http.StatusNotFound, 4},
+	KeyRequired:      {"key-required", http.StatusBadRequest, 2},
+	KeyExpired:       {"key-expired", http.StatusConflict, 5},
+	KeyRunning:       {"key-running", http.StatusConflict, 5},
+	KeyMismatch:      {"key-mismatch", http.StatusUnprocessableEntity, 5},
+	OutcomeUnknown:   {"outcome-unknown", http.StatusConflict, 6},
+	Conflict:         {"conflict", http.StatusConflict, 5},
+	NotLeader:        {"not-leader", http.StatusServiceUnavailable, 7},
+	NoQuorum:         {"no-quorum", http.StatusServiceUnavailable, 7},
+	Corrupt:          {"corrupt", http.StatusInternalServerError, 8},
+	Protocol:         {"protocol", http.StatusBadGateway, 8},
+	InvalidSetting:   {"invalid-setting", http.StatusUnprocessableEntity, 3},
+	NotFound:         {"not-found", http.StatusNotFound, 4},
+	Internal:         {"internal", http.StatusInternalServerError, 1},
+	Rejected:         {"rejected", http.StatusServiceUnavailable, 10},
+	Quarantined:      {"quarantined", http.StatusServiceUnavailable, 16},
+}
+
+// String returns the name of the code as used in refusals and metrics.
 func (c Code) String() string {
-	if c >= codeCount {
+	if c >= numCodes {
 		return "unknown"
 	}
-	return infos[c].slug
+	return codeTable[c].slug
 }
 
-// Status returns the HTTP status that carries the code.
+// Status returns the HTTP status for the code.
 func (c Code) Status() int {
-	if c >= codeCount {
+	if c >= numCodes {
 		return http.StatusInternalServerError
 	}
-	return infos[c].status
+	return codeTable[c].httpStatus
 }
 
-// Exit returns the exit code of the command-line tool.
+// Exit returns the exit code of the command-line tool for the code.
 func (c Code) Exit() int {
-	if c >= codeCount {
+	if c >= numCodes {
 		return 1
 	}
-	return infos[c].exit
+	return codeTable[c].exitCode
 }
 
 // Count is the number of codes, for arrays indexed by Code.
-const Count = int(codeCount)
+const Count = int(numCodes)
 
-// ParseCode returns the code with the given name.
+// ParseCode returns the code with the given name, and Internal and false if there is
+// none.
 func ParseCode(slug string) (Code, bool) {
-	for c := None; c < codeCount; c++ {
-		if infos[c].slug == slug {
+	for c := None; c < numCodes; c++ {
+		if codeTable[c].slug == slug {
 			return c, true
 		}
 	}
 	return Internal, false
 }
 
-// Run says what is known about the execution of a request that failed.
+// Execution tells whether a failed request was executed.
 type Execution uint8
 
 const (
-	// RunNo means that the backend server certainly never saw the request,
-	// so that it may be sent again whatever its kind.
+	// NotExecuted means that the backend server certainly did not receive the request, so
+	// that any request may be retried.
 	NotExecuted Execution = iota
-	// RunUnknown means that the request may have been executed.
+	// ExecutionUnknown means that the request may have been executed.
 	ExecutionUnknown
-	// RunYes means that the backend server answered.
+	// Executed means that the backend server answered.
 	Executed
 )
 
@@ -156,21 +189,21 @@
 	}
 }
 
-// Error is a failure with its code and what a caller needs to act on it.
+// Error is a failure with what the caller needs to react to it.
 type Error struct {
 	// Code is the kind of failure.
 	Code Code
 	// Run tells whether the request was executed.
 	Run Execution
-	// RetryAfter is when to come back; zero if the failure is final.
+	// RetryAfter is the delay before a retry; zero if the failure is final.
 	RetryAfter time.Duration
-	// Detail is a short sentence for a person.
+	// Detail is a short description for people.
 	Detail string
 	// Cause is the underlying error, or nil.
 	Cause error
 }
 
-// New returns an error for a request that was not run.
+// New returns an error for a request that was not executed.
 func New(c Code, detail string) *Error {
 	return &Error{Code: c, Detail: detail}
 }
@@ -180,18 +213,18 @@
 	return &Error{Code: c, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Wrap returns an error with the given code and cause.
+// Wrap returns an error with a cause, for a request that was not executed.
 func Wrap(c Code, cause error, detail string) *Error {
 	return &Error{Code: c, Detail: detail, Cause: cause}
 }
 
-// Unknown marks the failure as one after which the request may have run.
+// WithUnknownExecution marks the request as possibly executed and returns e.
 func (e *Error) WithUnknownExecution() *Error {
 	e.Run = ExecutionUnknown
 	return e
 }
 
-// After sets when the caller may come back.
+// After sets the delay before a retry and returns e.
 func (e *Error) After(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
@@ -208,7 +241,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// From returns the typed failure within err, or wraps err as Internal.
+// From returns the *Error in the chain of err, or wraps err as Internal with
+// ExecutionUnknown.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -217,7 +251,7 @@
 	return &Error{Code: Internal, Run: ExecutionUnknown, Detail: "unexpected failure", Cause: err}
 }
 
-// CodeOf returns the code of err; None for nil.
+// CodeOf returns the code of err, None for nil.
 func CodeOf(err error) Code {
 	if err == nil {
 		return None
