--- a/claims/claims.go
+++ b/claims/claims.go
@@ -80,7 +80,7 @@
 	// Running means that another attempt is running it.
 	Running
 	// Unknown means that an attempt did not report in time: it may have run.
-	Unknown
+	OutcomeUnknown
 	// Mismatch means that the key was used for another request.
 	Mismatch
 	// Expired means that the key is older than what is remembered.
@@ -95,7 +95,7 @@
 )
 
 var verdictCodes = map[Verdict]fault.Code{
-	Running: fault.KeyRunning, Unknown: fault.OutcomeUnknown, Mismatch: fault.KeyMismatch,
+	Running: fault.KeyRunning, OutcomeUnknown: fault.OutcomeUnknown, Mismatch: fault.KeyMismatch,
 	Expired: fault.KeyExpired, Stale: fault.KeyRunning, Malformed: fault.BadRequest,
 }
 
@@ -234,7 +234,7 @@
 	case held.Token == c.Token:
 		return Result{Verdict: Granted}
 	case st.clock > held.LeaseEndMs:
-		return Result{Verdict: Unknown}
+		return Result{Verdict: OutcomeUnknown}
 	default:
 		return Result{Verdict: Running}
 	}
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -139,7 +139,7 @@
 	g.Expect(begin("a", now, 1)).To(gomega.Equal(Granted))
 	g.Expect(begin("b", now+50, 1)).To(gomega.Equal(Running))
 	g.Expect(begin("b", now+50, 2)).To(gomega.Equal(Mismatch))
-	g.Expect(begin("b", now+200, 1)).To(gomega.Equal(Unknown))
+	g.Expect(begin("b", now+200, 1)).To(gomega.Equal(OutcomeUnknown))
 	// The holder was frozen and reports late: its outcome is the truth.
 	out := &Outcome{Status: 201}
 	g.Expect(st.Apply(&Command{Op: Finish, Kind: "k", Key: key, Token: "a", NowMs: now + 300, Outcome: out}).Verdict).To(gomega.Equal(Stored))
--- a/internal/node/once.go
+++ b/internal/node/once.go
@@ -53,7 +53,7 @@
 		if res.Verdict == claims.Running {
 			ferr.RetryAfter = retry.ComeBack(0, rand.Float64())
 		}
-		if res.Verdict == claims.Running || res.Verdict == claims.Unknown {
+		if res.Verdict == claims.Running || res.Verdict == claims.OutcomeUnknown {
 			ferr.Run = fault.ExecutionUnknown
 		}
 		n.refuse(w, c, ferr)
@@ -61,11 +61,11 @@
 }
 
 var verdictText = map[claims.Verdict]string{
-	claims.Running:   "another attempt with this key is in work",
-	claims.Unknown:   "an attempt with this key did not report; it is not run again",
-	claims.Mismatch:  "the key was used for another request",
-	claims.Expired:   "the key is older than what is remembered",
-	claims.Malformed: "the key must be a UUID of version 7, made at the present time",
+	claims.Running:        "another attempt with this key is in work",
+	claims.OutcomeUnknown: "an attempt with this key did not report; it is not run again",
+	claims.Mismatch:       "the key was used for another request",
+	claims.Expired:        "the key is older than what is remembered",
+	claims.Malformed:      "the key must be a UUID of version 7, made at the present time",
 }
 
 // once is one attempt to run a keyed request.
