--- a/claims/bench_test.go
+++ b/claims/bench_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// BenchmarkMemory reports the memory that a remembered key takes.
+// BenchmarkMemory reports the memory used per finished key.
 func BenchmarkMemory(b *testing.B) {
 	const keys = 200_000
 	for b.Loop() {
--- a/claims/claims.go
+++ b/claims/claims.go
@@ -1,18 +1,15 @@
-// Package claims is the replicated state behind at-most-once execution: a
-// pure state machine that every replica of a shard applies the same commands
-// to.
+// Package claims implements at-most-once execution of requests with idempotency keys: a
+// deterministic state machine to which all replicas of a shard apply the same commands.
 //
-// Before a keyed request is sent to a backend server, its key is claimed by a
-// command that a quorum has made durable. Only the claim's token may finish or
-// release it, so a key is run by one attempt at a time, and a claim that is
-// neither finished nor released within its lease is an unknown outcome: it is
-// said to be unknown and never granted again.
+// Before a keyed request is sent to a backend server, its key is claimed by a command
+// committed to a quorum. Only the claim's token may finish or release it, so at most one
+// attempt runs a key at a time. A claim neither finished nor released within its lease
+// has an unknown outcome; it is reported as such and never granted again.
 //
-// Keys are UUIDs of version 7 (RFC 9562), which carry the time at which they
-// were made. A kind's keys are forgotten in the order of that time, and a
-// floor per kind remembers how far: what lies at or below the floor is refused
-// as expired. So memory is bounded and no key can be run again because it was
-// forgotten.
+// Keys are UUIDs of version 7 (RFC 9562), which contain their creation time. The keys of
+// a kind are evicted in the order of that time, and a floor per kind records how far:
+// keys at or below the floor are refused as expired. This bounds the memory, and no key
+// can run again because it was evicted.
 package claims
 
 import (
@@ -25,90 +22,94 @@
 	"github.com/umberthread/umberthread/fault"
 )
 
-// Op tells commands apart.
+// Op is the operation of a command.
 type Op uint8
 
-// The commands.
+// The operations.
 const (
 	// Begin claims a key for a token.
 	Begin Op = iota + 1
-	// Finish stores the outcome.
+	// Finish stores the outcome of a claimed key.
 	Finish
-	// Release gives a key up that certainly was not run.
+	// Release gives up the claim of a key whose request was certainly not executed.
 	Release
 )
 
-// Outcome is the stored answer of a finished request.
+// Outcome is the stored response of a finished request.
 type Outcome struct {
 	Status      int
 	ContentType string
 	Body        []byte
-	// Truncated is set if the body was too large to be kept.
+	// Truncated is set if the body was too large and is not stored.
 	Truncated bool
 }
 
-// MaxBody is the largest body kept with an outcome, in bytes.
+// MaxBody is the largest body stored with an outcome, in bytes.
 const MaxBody = 16 << 10
 
-// Command is one step of the replicated log.
+// Command is an entry of the replicated log.
 type Command struct {
 	Op    Op
 	Kind  string
 	Key   string
 	Token string
-	// Fingerprint is a hash of the request; a key must not be used for two.
+	// Fingerprint is a hash of the request; it must be the same whenever the key is used.
 	Fingerprint uint64
-	// NowMs is the proposer's time, in Unix milliseconds; the state machine's
-	// clock is the highest that it has seen.
+	// NowMs is the proposer's clock in Unix milliseconds. The state machine's clock is
+	// the highest value seen.
 	NowMs int64
-	// LeaseMs is how long the claim may be in work.
+	// LeaseMs is the lease of the claim in milliseconds.
 	LeaseMs int64
-	// RetainMs is how long the key is kept.
+	// RetainMs is how long the key is retained after its creation time, in milliseconds.
 	RetainMs int64
 	Outcome  *Outcome
 }
 
-// Verdict is the answer to a command.
+// Verdict is the result of applying a command.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Granted means that this token, and no other, may run the request.
+	// Granted means that this token, and no other, may execute the request.
 	Granted Verdict = iota + 1
-	// Replay means that the request has run; its outcome is attached.
+	// Replay means that the request is finished; its outcome is attached.
 	Replay
-	// Running means that another attempt is running it.
+	// Running means that another attempt holds the key and its lease has not expired.
 	Running
-	// Unknown means that an attempt did not report in time: it may have run.
+	// OutcomeUnknown means that the lease of another attempt expired; the request may
+	// have been executed.
 	OutcomeUnknown
-	// Mismatch means that the key was used for another request.
+	// Mismatch means that the key was used for a different request.
 	Mismatch
-	// Expired means that the key is older than what is remembered.
+	// Expired means that the key is older than the retention time or at or below the
+	// eviction floor.
 	Expired
-	// Stale means that the token does not hold the key.
-	Stale
-	// Stored means that a Finish or a Release took effect.
-	Stored
-	// Malformed means that the key is not a UUID of version 7, or lies in the
-	// future.
+	// NotHolder means that the token does not hold the key, or that the key to release is
+	// already finished.
+	NotHolder
+	// Applied means that a Finish or Release took effect.
+	Applied
+	// Malformed means that the key is not a UUID of version 7 or lies too far in the
+	// future, or that the operation is unknown.
 	Malformed
 )
 
-var verdictCodes = map[Verdict]fault.Code{
+var verdictFaults = map[Verdict]fault.Code{
 	Running: fault.KeyRunning, OutcomeUnknown: fault.OutcomeUnknown, Mismatch: fault.KeyMismatch,
-	Expired: fault.KeyExpired, Stale: fault.KeyRunning, Malformed: fault.BadRequest,
+	Expired: fault.KeyExpired, NotHolder: fault.KeyRunning, Malformed: fault.BadRequest,
 }
 
-// Code returns the failure that a verdict stands for, or None.
-func (v Verdict) Code() fault.Code { return verdictCodes[v] }
+// Code returns the fault code of a verdict, or None.
+func (v Verdict) Code() fault.Code { return verdictFaults[v] }
 
-// Result is a verdict with the outcome to replay.
+// Result is a verdict, with the stored outcome if it is Replay.
 type Result struct {
 	Verdict Verdict
 	Outcome *Outcome
 }
 
-// claim is what is remembered of a key.
+// claim is the stored state of a key. Its exported fields are part of the snapshot
+// encoding.
 type claim struct {
 	Kind        string
 	Key         string
@@ -119,32 +120,34 @@
 	LeaseEndMs  int64
 	Outcome     *Outcome
 
-	index int
+	// heapIndex is the position in the heap of the kind's claims.
+	heapIndex int
 }
 
-// State is the content of a Store; a snapshot is its encoding.
+// State is the content of a Store as encoded in a snapshot.
 type State struct {
 	ClockMs int64
-	// Floors is, per kind, the time of the newest key that was forgotten.
+	// Floors maps each kind to the creation time of the newest evicted key, in Unix
+	// milliseconds.
 	Floors map[string]int64
 	Claims []*claim
 }
 
-// Store applies commands. It is not safe for concurrent use.
+// Store is the state machine of a shard. It is not safe for concurrent use.
 type Store struct {
-	clock  int64
-	floors map[string]int64
-	claims map[string]*claim
-	// byAge orders each kind's claims by the time their keys were made.
-	byAge map[string]*ageHeap
+	clock          int64
+	evictionFloors map[string]int64
+	claims         map[string]*claim
+	// claimsByAge orders the claims of each kind by the creation time of their keys.
+	claimsByAge map[string]*ageHeap
 }
 
 // New returns an empty store.
 func New() *Store {
-	return &Store{floors: map[string]int64{}, claims: map[string]*claim{}, byAge: map[string]*ageHeap{}}
+	return &Store{evictionFloors: map[string]int64{}, claims: map[string]*claim{}, claimsByAge: map[string]*ageHeap{}}
 }
 
-// Restore returns the store of a snapshot.
+// Restore returns the store encoded in a snapshot.
 func Restore(data []byte) (*Store, error) {
 	var s State
 	if err := msgpack.Unmarshal(data, &s); err != nil {
@@ -153,7 +156,7 @@
 	st := New()
 	st.clock = s.ClockMs
 	for k, v := range s.Floors {
-		st.floors[k] = v
+		st.evictionFloors[k] = v
 	}
 	for _, c := range s.Claims {
 		st.insert(c)
@@ -163,23 +166,25 @@
 
 // Snapshot encodes the store.
 func (st *Store) Snapshot() ([]byte, error) {
-	s := State{ClockMs: st.clock, Floors: st.floors}
+	s := State{ClockMs: st.clock, Floors: st.evictionFloors}
 	for _, c := range st.claims {
 		s.Claims = append(s.Claims, c)
 	}
 	return msgpack.Marshal(&s)
 }
 
-// Len returns the number of keys remembered.
+// Len returns the number of stored keys.
 func (st *Store) Len() int { return len(st.claims) }
 
-func mapKey(kind, key string) string { return kind + "\x00" + key }
+// claimID returns the map key of a claim; idempotency keys are unique per kind.
+func claimID(kind, key string) string { return kind + "\x00" + key }
 
-// futureMs is how far a key's time may lie ahead of the state machine's.
-const futureMs = int64(5 * time.Minute / time.Millisecond)
+// maxFutureMs is how far a key's creation time may be ahead of the state machine's clock,
+// in milliseconds.
+const maxFutureMs = int64(5 * time.Minute / time.Millisecond)
 
-// KeyTime returns when a key was made, in Unix milliseconds; false if it is
-// not a UUID of version 7.
+// KeyTime returns the creation time of a key in Unix milliseconds, and false if the key
+// is not a UUID of version 7.
 func KeyTime(key string) (int64, bool) {
 	u, err := uuid.Parse(key)
 	if err != nil || u.Version() != 7 {
@@ -192,8 +197,8 @@
 // Apply applies a committed command.
 func (st *Store) Apply(c *Command) Result {
 	st.clock = max(st.clock, c.NowMs)
-	st.forget(c.Kind)
-	held := st.claims[mapKey(c.Kind, c.Key)]
+	st.evictExpired(c.Kind)
+	held := st.claims[claimID(c.Kind, c.Key)]
 	switch c.Op {
 	case Begin:
 		return st.begin(c, held)
@@ -207,13 +212,13 @@
 
 func (st *Store) begin(c *Command, held *claim) Result {
 	if held != nil {
-		return st.again(c, held)
+		return st.beginExisting(c, held)
 	}
 	made, ok := KeyTime(c.Key)
-	if !ok || made > st.clock+futureMs {
+	if !ok || made > st.clock+maxFutureMs {
 		return Result{Verdict: Malformed}
 	}
-	if made <= st.floors[c.Kind] || made+c.RetainMs <= st.clock {
+	if made <= st.evictionFloors[c.Kind] || made+c.RetainMs <= st.clock {
 		return Result{Verdict: Expired}
 	}
 	st.insert(&claim{
@@ -223,9 +228,9 @@
 	return Result{Verdict: Granted}
 }
 
-// again answers a key that is known. The same token gets the grant again: its
-// command was doubled on the way.
-func (st *Store) again(c *Command, held *claim) Result {
+// beginExisting returns the verdict on a Begin for a stored key. The holder's own token
+// is granted again, since its command may have been duplicated.
+func (st *Store) beginExisting(c *Command, held *claim) Result {
 	switch {
 	case held.Fingerprint != c.Fingerprint:
 		return Result{Verdict: Mismatch}
@@ -242,58 +247,57 @@
 
 func (st *Store) finish(c *Command, held *claim) Result {
 	if held == nil || held.Token != c.Token {
-		return Result{Verdict: Stale}
+		return Result{Verdict: NotHolder}
 	}
 	if held.Outcome == nil {
 		held.Outcome = c.Outcome
 	}
-	return Result{Verdict: Stored}
+	return Result{Verdict: Applied}
 }
 
-// release forgets a key whose request was not run. The grant can come again
-// only from a new Begin.
+// release removes the claim of a key whose request was not executed. Only a new Begin can
+// claim the key again.
 func (st *Store) release(c *Command, held *claim) Result {
 	if held == nil || held.Token != c.Token || held.Outcome != nil {
-		return Result{Verdict: Stale}
+		return Result{Verdict: NotHolder}
 	}
 	st.remove(held)
-	return Result{Verdict: Stored}
+	return Result{Verdict: Applied}
 }
 
-// forgetBatch bounds the keys forgotten with one command.
-const forgetBatch = 4
+// maxEvictionsPerCommand bounds the keys evicted by one command.
+const maxEvictionsPerCommand = 4
 
-// forget drops the oldest keys of a kind whose time is over, and raises the
-// floor to them. A younger key is never dropped before an older one, so that
-// the floor tells the whole truth.
-func (st *Store) forget(kind string) {
-	h := st.byAge[kind]
+// evictExpired evicts keys of a kind whose retention is over, strictly in order of
+// creation, and raises the floor so that every evicted key is at or below it.
+func (st *Store) evictExpired(kind string) {
+	h := st.claimsByAge[kind]
 	if h == nil {
 		return
 	}
-	for range forgetBatch {
+	for range maxEvictionsPerCommand {
 		if len(*h) == 0 || (*h)[0].ForgetMs > st.clock {
 			return
 		}
 		c := (*h)[0]
-		st.floors[kind] = max(st.floors[kind], c.MadeMs)
+		st.evictionFloors[kind] = max(st.evictionFloors[kind], c.MadeMs)
 		st.remove(c)
 	}
 }
 
 func (st *Store) insert(c *claim) {
-	st.claims[mapKey(c.Kind, c.Key)] = c
-	h := st.byAge[c.Kind]
+	st.claims[claimID(c.Kind, c.Key)] = c
+	h := st.claimsByAge[c.Kind]
 	if h == nil {
 		h = &ageHeap{}
-		st.byAge[c.Kind] = h
+		st.claimsByAge[c.Kind] = h
 	}
 	heap.Push(h, c)
 }
 
 func (st *Store) remove(c *claim) {
-	delete(st.claims, mapKey(c.Kind, c.Key))
-	heap.Remove(st.byAge[c.Kind], c.index)
+	delete(st.claims, claimID(c.Kind, c.Key))
+	heap.Remove(st.claimsByAge[c.Kind], c.heapIndex)
 }
 
 // ageHeap is a heap of claims, the oldest key first.
@@ -313,14 +317,14 @@
 // Swap implements heap.Interface.
 func (h ageHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index = i
-	h[j].index = j
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
 
 // Push implements heap.Interface.
 func (h *ageHeap) Push(x any) {
 	c := x.(*claim)
-	c.index = len(*h)
+	c.heapIndex = len(*h)
 	*h = append(*h, c)
 }
 
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// keyAt makes a UUID of version 7 with the given time and number.
+// keyAt returns a UUID of version 7 with the given creation time and number.
 func keyAt(ms int64, n int) string {
 	var u uuid.UUID
 	for i := range 6 {
@@ -30,45 +30,45 @@
 	g.Expect(ok).To(gomega.BeFalse())
 }
 
-// oracle remembers for ever what the store may forget.
-type oracle struct {
-	// runs counts, per key, the grants that were not given back.
-	runs map[string]int
-	// holder is the token that a key was last granted to.
+// grantOracle records all grants, without eviction.
+type grantOracle struct {
+	// activeGrants counts the grants of each key that were not released.
+	activeGrants map[string]int
+	// holder is the token to which a key was last granted.
 	holder   map[string]string
 	finished map[string]bool
 }
 
-// TestAtMostOnce drives the store with doubled, late and reordered commands,
-// over a time in which keys expire and across snapshots, and checks against an
-// oracle that no key is ever granted twice. The broken variant forgets without
-// a floor and must be found.
+// TestAtMostOnce applies duplicated, delayed and reordered commands, with keys expiring
+// and snapshots restored, and checks that no key is granted twice.
+// TestForgettingWithoutFloorIsFound shows that the check detects a store without an
+// eviction floor.
 func TestAtMostOnce(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { atMostOnce(t, false, t.Fatalf) })
+	rapid.Check(t, func(t *rapid.T) { checkAtMostOnce(t, false, t.Fatalf) })
 }
 
 func TestForgettingWithoutFloorIsFound(t *testing.T) {
 	found := false
 	rapid.Check(t, func(t *rapid.T) {
 		if !found {
-			atMostOnce(t, true, func(string, ...any) { found = true })
+			checkAtMostOnce(t, true, func(string, ...any) { found = true })
 		}
 	})
 	if !found {
-		t.Fatal("no check failed")
+		t.Fatal("the missing floor was not detected")
 	}
 }
 
-func atMostOnce(t *rapid.T, noFloor bool, fail func(string, ...any)) {
+func checkAtMostOnce(t *rapid.T, noFloor bool, fail func(string, ...any)) {
 	st := New()
-	o := oracle{map[string]int{}, map[string]string{}, map[string]bool{}}
+	o := grantOracle{map[string]int{}, map[string]string{}, map[string]bool{}}
 	now := int64(1_790_000_000_000)
 	var log []Command
 	tokens := 0
 	for range rapid.IntRange(20, 200).Draw(t, "steps") {
 		now += int64(rapid.IntRange(0, 400).Draw(t, "pause"))
 		if noFloor {
-			st.floors = map[string]int64{}
+			st.evictionFloors = map[string]int64{}
 		}
 		switch rapid.IntRange(0, 9).Draw(t, "what") {
 		case 0:
@@ -81,8 +81,8 @@
 			}
 		case 1, 2:
 			if len(log) > 0 {
-				// An old command arrives once more.
-				apply(st, &o, log[rapid.IntRange(0, len(log)-1).Draw(t, "old")], fail)
+				// Deliver an old command again.
+				applyAndCheck(st, &o, log[rapid.IntRange(0, len(log)-1).Draw(t, "old")], fail)
 			}
 		case 3, 4, 5, 6:
 			tokens++
@@ -92,7 +92,7 @@
 				Fingerprint: 1, NowMs: now, LeaseMs: 300, RetainMs: int64(rapid.SampledFrom([]int{1000, 1000, 2500}).Draw(t, "retain")),
 			}
 			log = append(log, c)
-			apply(st, &o, c, fail)
+			applyAndCheck(st, &o, c, fail)
 		default:
 			if len(log) == 0 {
 				continue
@@ -102,26 +102,26 @@
 			c.Op = rapid.SampledFrom([]Op{Finish, Release}).Draw(t, "op")
 			c.Outcome = &Outcome{Status: 200}
 			if c.Op == Release && o.finished[c.Key+c.Token] {
-				// A holder never releases what it has run.
+				// A holder never releases a key that it has finished.
 				continue
 			}
 			log = append(log, c)
-			apply(st, &o, c, fail)
+			applyAndCheck(st, &o, c, fail)
 		}
 	}
 }
 
-func apply(st *Store, o *oracle, c Command, fail func(string, ...any)) {
+func applyAndCheck(st *Store, o *grantOracle, c Command, fail func(string, ...any)) {
 	r := st.Apply(&c)
 	switch {
 	case c.Op == Begin && r.Verdict == Granted && o.holder[c.Key] != c.Token:
-		o.runs[c.Key]++
+		o.activeGrants[c.Key]++
 		o.holder[c.Key] = c.Token
-		if o.runs[c.Key] > 1 {
-			fail("key %s was granted %d times", c.Key, o.runs[c.Key])
+		if o.activeGrants[c.Key] > 1 {
+			fail("key %s was granted %d times", c.Key, o.activeGrants[c.Key])
 		}
-	case c.Op == Release && r.Verdict == Stored:
-		o.runs[c.Key]--
+	case c.Op == Release && r.Verdict == Applied:
+		o.activeGrants[c.Key]--
 		o.holder[c.Key] = ""
 	case c.Op == Finish:
 		o.finished[c.Key+c.Token] = true
@@ -140,9 +140,9 @@
 	g.Expect(begin("b", now+50, 1)).To(gomega.Equal(Running))
 	g.Expect(begin("b", now+50, 2)).To(gomega.Equal(Mismatch))
 	g.Expect(begin("b", now+200, 1)).To(gomega.Equal(OutcomeUnknown))
-	// The holder was frozen and reports late: its outcome is the truth.
+	// The holder reports after its lease expired; its outcome is accepted.
 	out := &Outcome{Status: 201}
-	g.Expect(st.Apply(&Command{Op: Finish, Kind: "k", Key: key, Token: "a", NowMs: now + 300, Outcome: out}).Verdict).To(gomega.Equal(Stored))
+	g.Expect(st.Apply(&Command{Op: Finish, Kind: "k", Key: key, Token: "a", NowMs: now + 300, Outcome: out}).Verdict).To(gomega.Equal(Applied))
 	g.Expect(begin("c", now+400, 1)).To(gomega.Equal(Replay))
 	g.Expect(begin("c", now+5000, 1)).To(gomega.Equal(Expired))
 }
