--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -56,6 +56,7 @@
 	}
 }
 
+// watchedConns returns the connections with a callback.
 func (l *Listener) watchedConns() []*Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -169,7 +170,7 @@
 	}
 }
 
-// readAhead buffers the data that has arrived, without blocking. The caller holds readMu.
+// readAhead buffers the data that has arrived, without blocking. readMu must be held.
 func (c *Conn) readAhead() {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok || c.readErr != nil || len(c.readAheadBuf) >= maxReadAheadBytes {
--- a/quarantine/mark.go
+++ b/quarantine/fingerprint.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Fingerprint is a hash that requests of the same kind share; 0 means none.
+// Fingerprint is a hash by which requests are recognised as alike; 0 means none.
 type Fingerprint uint64
 
 // Fingerprints holds the fingerprints of one request.
@@ -44,12 +44,13 @@
 	return &a.slots[m%recentAnswerSlots], uint64(m) &^ timeMask
 }
 
-// Note records that a backend server answered a request.
+// Note records that a backend server answered a request with the fingerprints.
 func (a *RecentAnswers) Note(now time.Duration, m Fingerprints) {
 	a.recordFingerprint(now, m.Content)
 	a.recordFingerprint(now, m.Caller)
 }
 
+// recordFingerprint stores a fingerprint with the time of its answer. It ignores 0.
 func (a *RecentAnswers) recordFingerprint(now time.Duration, m Fingerprint) {
 	if m == 0 {
 		return
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -13,7 +13,7 @@
 
 const poison Fingerprint = 77
 
-// recordPoisonTermination records the termination of the i-th start, with the poison and
+// recordPoisonTermination records the termination of the i-th incarnation, with the poison and
 // one fingerprint of its own in flight.
 func recordPoisonTermination(t *Table, now time.Duration, i int) []QuarantinedRequest {
 	held, _ := t.RecordTermination(now, Termination{Start: fmt.Sprint(i), Service: "f/s", Marks: []Fingerprint{poison, Fingerprint(1000 + i)}})
@@ -50,8 +50,8 @@
 func TestAnEndToldAgainAmongManyIsCountedOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := newTable()
-	for i := range 3 * maxTerminatedStarts {
-		now := time.Duration(i) * 30 * time.Second / (3 * maxTerminatedStarts)
+	for i := range 3 * maxTerminatedIncarnations {
+		now := time.Duration(i) * 30 * time.Second / (3 * maxTerminatedIncarnations)
 		table.RecordTermination(now, Termination{Start: fmt.Sprint("other-", i), Service: "f/t"})
 		recordPoisonTermination(table, now, 1)
 	}
@@ -185,7 +185,7 @@
 	g.Expect(len(table.young)).To(gomega.BeNumerically("<=", generationSize))
 	g.Expect(len(table.old)).To(gomega.BeNumerically("<=", generationSize))
 	g.Expect(len(table.repeat)).To(gomega.BeNumerically("<=", maxRepeatSuspects))
-	g.Expect(len(table.terminatedStarts)).To(gomega.BeNumerically("<=", maxTerminatedStarts))
+	g.Expect(len(table.terminatedIncarnations)).To(gomega.BeNumerically("<=", maxTerminatedIncarnations))
 	g.Expect(table.View(time.Second).Left(time.Second, Fingerprints{Content: poison})).NotTo(gomega.BeZero())
 }
 
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -36,11 +36,11 @@
 	generationSize = 1024
 	// maxRepeatSuspects bounds the fingerprints of a View.
 	maxRepeatSuspects = 256
-	// maxTerminatedStarts bounds the remembered starts whose termination was counted, and
-	// terminatedStartLifetime is how long they are remembered to ignore repeated reports.
-	// Terminations beyond the bound are not counted.
-	maxTerminatedStarts     = 4096
-	terminatedStartLifetime = time.Minute
+	// maxTerminatedIncarnations bounds the remembered incarnations whose termination was
+	// counted, and terminatedIncarnationLifetime is how long they are remembered to ignore
+	// repeated reports. Terminations beyond the bound are not counted.
+	maxTerminatedIncarnations     = 4096
+	terminatedIncarnationLifetime = time.Minute
 	// maxServices bounds the services whose terminations are counted, and
 	// maxServiceTerminations the terminations remembered for each.
 	maxServices            = 256
@@ -49,7 +49,7 @@
 
 // Termination is the termination of a backend server.
 type Termination struct {
-	// Start identifies the start of the backend server that terminated.
+	// Start identifies the incarnation of the backend server that terminated.
 	Start string
 	// Service is the service of the backend server.
 	Service string
@@ -83,22 +83,22 @@
 	// young and old are the generations of suspects, and repeat holds those with more
 	// than one termination.
 	young, old, repeat map[Fingerprint]*suspect
-	// terminatedStarts maps counted starts to the time of their termination.
-	terminatedStarts map[string]time.Duration
+	// terminatedIncarnations maps counted incarnations to the time of their termination.
+	terminatedIncarnations map[string]time.Duration
 	// serviceTerminations holds the times of the latest terminations in each service.
 	serviceTerminations map[string][]time.Duration
 }
 
 // New returns an empty table. r provides the jitter of the quarantines.
 func New(r *rand.Rand) *Table {
-	return &Table{rand: r, young: map[Fingerprint]*suspect{}, old: map[Fingerprint]*suspect{}, repeat: map[Fingerprint]*suspect{}, terminatedStarts: map[string]time.Duration{}, serviceTerminations: map[string][]time.Duration{}}
+	return &Table{rand: r, young: map[Fingerprint]*suspect{}, old: map[Fingerprint]*suspect{}, repeat: map[Fingerprint]*suspect{}, terminatedIncarnations: map[string]time.Duration{}, serviceTerminations: map[string][]time.Duration{}}
 }
 
 // RecordTermination counts the termination of a backend server. It returns the
 // fingerprints whose quarantine starts with it, and false if the termination was not
-// counted because it is already known or the table of starts is full.
+// counted because it is already known or too many incarnations are remembered.
 func (t *Table) RecordTermination(now time.Duration, e Termination) (held []QuarantinedRequest, news bool) {
-	if _, known := t.terminatedStarts[e.Start]; known || !t.recordStart(now, e) {
+	if _, known := t.terminatedIncarnations[e.Start]; known || !t.recordIncarnation(now, e) {
 		return nil, false
 	}
 	for _, m := range e.Marks {
@@ -109,20 +109,21 @@
 	return held, true
 }
 
-// recordStart remembers a terminated start. It returns false if there is no room for it.
-func (t *Table) recordStart(now time.Duration, e Termination) bool {
-	if len(t.terminatedStarts) >= maxTerminatedStarts {
-		maps.DeleteFunc(t.terminatedStarts, func(_ string, at time.Duration) bool { return now-at > terminatedStartLifetime })
+// recordIncarnation remembers a terminated incarnation. It returns false if there is no
+// room for it.
+func (t *Table) recordIncarnation(now time.Duration, e Termination) bool {
+	if len(t.terminatedIncarnations) >= maxTerminatedIncarnations {
+		maps.DeleteFunc(t.terminatedIncarnations, func(_ string, at time.Duration) bool { return now-at > terminatedIncarnationLifetime })
 	}
-	if len(t.terminatedStarts) >= maxTerminatedStarts {
+	if len(t.terminatedIncarnations) >= maxTerminatedIncarnations {
 		return false
 	}
-	t.terminatedStarts[e.Start] = now
+	t.terminatedIncarnations[e.Start] = now
 	if _, known := t.serviceTerminations[e.Service]; !known && len(t.serviceTerminations) >= maxServices {
 		clear(t.serviceTerminations)
 	}
-	ends := append(t.serviceTerminations[e.Service], now)
-	t.serviceTerminations[e.Service] = ends[max(0, len(ends)-maxServiceTerminations):]
+	times := append(t.serviceTerminations[e.Service], now)
+	t.serviceTerminations[e.Service] = times[max(0, len(times)-maxServiceTerminations):]
 	return true
 }
 
@@ -225,6 +226,7 @@
 	return d
 }
 
+// addJitter lengthens a quarantine by a random share of up to quarantineJitter.
 func (t *Table) addJitter(d time.Duration) time.Duration {
 	return d + time.Duration(t.rand.Float64()*quarantineJitter*float64(d))
 }
@@ -232,11 +234,11 @@
 // RecordAnswer clears a fingerprint because a backend server answered a request with it.
 // It reports whether the fingerprint had been in quarantine.
 func (t *Table) RecordAnswer(m Fingerprint) bool {
-	s, hot := t.repeat[m]
+	s, suspected := t.repeat[m]
 	delete(t.repeat, m)
 	delete(t.young, m)
 	delete(t.old, m)
-	return hot && s.round > 0
+	return suspected && s.round > 0
 }
 
 // Terminations returns the number of terminations of a fingerprint, 0 if fewer than two.
@@ -258,6 +260,7 @@
 	return out
 }
 
+// quarantinedRequest describes a suspect as other nodes are told of it.
 func (t *Table) quarantinedRequest(now time.Duration, m Fingerprint, s *suspect) QuarantinedRequest {
 	return QuarantinedRequest{Mark: m, Ends: s.terminations, Round: s.round, Left: s.quarantinedUntil - now}
 }
--- a/route/instance.go
+++ b/route/instance.go
@@ -65,7 +65,7 @@
 
 // SetUnreachable records whether the node beside the instance is unreachable. An
 // unreachable instance gets no requests, even while most other instances are ejected.
-func (o *Observations) SetUnreachable(cut bool) { o.unreachable.Store(cut) }
+func (o *Observations) SetUnreachable(unreachable bool) { o.unreachable.Store(unreachable) }
 
 // Begin counts a request sent to the instance. A request to an ejected instance is its
 // probe.
@@ -188,8 +188,8 @@
 	return share * math.Exp(-age.Seconds()/failureShareLifetime.Seconds())
 }
 
-// failurePenalty returns the load added for the instance's failures. It is zero for an
-// ejected instance, which only probes can reach.
+// failurePenalty returns the load added for the instance's failures, zero while the
+// instance is ejected.
 func (o *Observations) failurePenalty(now time.Duration) float64 {
 	if o.Ejected() {
 		return 0
--- a/seek/seek.go
+++ b/seek/seek.go
@@ -42,7 +42,7 @@
 }
 
 // NextReplica returns the replica to ask now, given the addresses of all known replicas,
-// or "" and the time at which to call again. Times count from any fixed moment.
+// "" for none, and the time at which to call again. Times count from any fixed moment.
 func (s *LeaderSearch) NextReplica(now time.Duration, addrs []string) (addr string, again time.Duration) {
 	if now < s.nextRequestAt {
 		return "", s.nextRequestAt
@@ -62,8 +62,8 @@
 	return addr, s.nextRequestAt
 }
 
-// chooseReplica returns the likely leader if it should be asked, else the responsive
-// replica with the fewest requests. It returns none with a request in flight.
+// chooseReplica returns the likely leader if it should be asked, else the replica that
+// isPreferred ranks first. It skips replicas with a request in flight.
 func (s *LeaderSearch) chooseReplica(now time.Duration, addrs []string) string {
 	if s.leaderHint != "" && s.shouldFollowHint(now, s.stateOf(s.leaderHint)) {
 		return s.leaderHint
