--- a/internal/node/quarantine_news.go
+++ b/internal/node/quarantine_news.go
@@ -73,13 +73,13 @@
 	now := q.n.clock()
 	end := quarantine.Termination{Start: id + "/" + strconv.FormatUint(uint64(e.Start), 10), Service: e.Service}
 	for _, m := range e.Marks {
-		end.Marks = append(end.Marks, quarantine.Fingerprint(m))
+		end.Fingerprints = append(end.Fingerprints, quarantine.Fingerprint(m))
 	}
 	held, news := q.table.RecordTermination(now, end)
 	if !news {
 		return false
 	}
-	for _, m := range end.Marks {
+	for _, m := range end.Fingerprints {
 		if q.table.Terminations(m) > 0 && q.answers.AnsweredRecently(now, m) {
 			q.clear(m)
 			q.tellLater(m)
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -54,7 +54,7 @@
 	// Service is the service of the backend server.
 	Service string
 	// Marks are the fingerprints of the requests that the backend server had in flight.
-	Marks []Fingerprint
+	Fingerprints []Fingerprint
 }
 
 // QuarantinedRequest describes a quarantined fingerprint as one node reports it to
@@ -101,7 +101,7 @@
 	if _, known := t.terminatedIncarnations[e.Start]; known || !t.recordIncarnation(now, e) {
 		return nil, false
 	}
-	for _, m := range e.Marks {
+	for _, m := range e.Fingerprints {
 		if m != 0 && t.countTermination(now, m, e.Service) {
 			held = append(held, t.quarantinedRequest(now, m, t.repeat[m]))
 		}
