--- a/internal/node/quarantine_news.go
+++ b/internal/node/quarantine_news.go
@@ -71,7 +71,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.n.clock()
-	end := quarantine.Termination{Start: id + "/" + strconv.FormatUint(uint64(e.Start), 10), Service: e.Service}
+	end := quarantine.Termination{Incarnation: id + "/" + strconv.FormatUint(uint64(e.Start), 10), Service: e.Service}
 	for _, m := range e.Marks {
 		end.Fingerprints = append(end.Fingerprints, quarantine.Fingerprint(m))
 	}
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -16,7 +16,7 @@
 // recordPoisonTermination records the termination of the i-th incarnation, with the poison and
 // one fingerprint of its own in flight.
 func recordPoisonTermination(t *Table, now time.Duration, i int) []QuarantinedRequest {
-	held, _ := t.RecordTermination(now, Termination{Start: fmt.Sprint(i), Service: "f/s", Fingerprints: []Fingerprint{poison, Fingerprint(1000 + i)}})
+	held, _ := t.RecordTermination(now, Termination{Incarnation: fmt.Sprint(i), Service: "f/s", Fingerprints: []Fingerprint{poison, Fingerprint(1000 + i)}})
 	return held
 }
 
@@ -52,7 +52,7 @@
 	table := newTable()
 	for i := range 3 * maxTerminatedIncarnations {
 		now := time.Duration(i) * 30 * time.Second / (3 * maxTerminatedIncarnations)
-		table.RecordTermination(now, Termination{Start: fmt.Sprint("other-", i), Service: "f/t"})
+		table.RecordTermination(now, Termination{Incarnation: fmt.Sprint("other-", i), Service: "f/t"})
 		recordPoisonTermination(table, now, 1)
 	}
 	g.Expect(table.Terminations(poison)).To(gomega.BeZero())
@@ -123,13 +123,13 @@
 		if i%6 == 0 {
 			marks = append(marks, poison)
 		}
-		held, _ := table.RecordTermination(time.Duration(i)*100*time.Millisecond, Termination{Start: fmt.Sprint(i), Service: "f/s", Fingerprints: marks})
+		held, _ := table.RecordTermination(time.Duration(i)*100*time.Millisecond, Termination{Incarnation: fmt.Sprint(i), Service: "f/s", Fingerprints: marks})
 		g.Expect(held).To(gomega.BeEmpty())
 	}
 	g.Expect(table.Terminations(poison)).To(gomega.Equal(10))
 	// Terminations of another service do not count.
 	for i := range 3 {
-		held, _ := table.RecordTermination(time.Minute, Termination{Start: fmt.Sprint("other", i), Service: "f/t", Fingerprints: []Fingerprint{9}})
+		held, _ := table.RecordTermination(time.Minute, Termination{Incarnation: fmt.Sprint("other", i), Service: "f/t", Fingerprints: []Fingerprint{9}})
 		g.Expect(held).To(gomega.HaveLen(i / 2))
 	}
 }
@@ -141,7 +141,7 @@
 	table := newTable()
 	held := 0
 	for i := range 18 {
-		h, _ := table.RecordTermination(time.Duration(i)*100*time.Millisecond, Termination{Start: fmt.Sprint(i), Service: "f/s", Fingerprints: []Fingerprint{Fingerprint(1 + i%3)}})
+		h, _ := table.RecordTermination(time.Duration(i)*100*time.Millisecond, Termination{Incarnation: fmt.Sprint(i), Service: "f/s", Fingerprints: []Fingerprint{Fingerprint(1 + i%3)}})
 		held += len(h)
 	}
 	g.Expect(held).To(gomega.Equal(3))
@@ -176,7 +176,7 @@
 		for k := range marks {
 			marks[k] = Fingerprint(1 + rng.Uint64N(20000))
 		}
-		table.RecordTermination(time.Second, Termination{Start: "mass-" + fmt.Sprint(i), Service: fmt.Sprint("f/", i%3300), Fingerprints: marks})
+		table.RecordTermination(time.Second, Termination{Incarnation: "mass-" + fmt.Sprint(i), Service: fmt.Sprint("f/", i%3300), Fingerprints: marks})
 	}
 	g.Expect(len(table.serviceTerminations)).To(gomega.BeNumerically("<=", maxServices))
 	for _, ends := range table.serviceTerminations {
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -50,7 +50,7 @@
 // Termination is the termination of a backend server.
 type Termination struct {
 	// Start identifies the incarnation of the backend server that terminated.
-	Start string
+	Incarnation string
 	// Service is the service of the backend server.
 	Service string
 	// Marks are the fingerprints of the requests that the backend server had in flight.
@@ -98,7 +98,7 @@
 // fingerprints whose quarantine starts with it, and false if the termination was not
 // counted because it is already known or too many incarnations are remembered.
 func (t *Table) RecordTermination(now time.Duration, e Termination) (held []QuarantinedRequest, news bool) {
-	if _, known := t.terminatedIncarnations[e.Start]; known || !t.recordIncarnation(now, e) {
+	if _, known := t.terminatedIncarnations[e.Incarnation]; known || !t.recordIncarnation(now, e) {
 		return nil, false
 	}
 	for _, m := range e.Fingerprints {
@@ -118,7 +118,7 @@
 	if len(t.terminatedIncarnations) >= maxTerminatedIncarnations {
 		return false
 	}
-	t.terminatedIncarnations[e.Start] = now
+	t.terminatedIncarnations[e.Incarnation] = now
 	if _, known := t.serviceTerminations[e.Service]; !known && len(t.serviceTerminations) >= maxServices {
 		clear(t.serviceTerminations)
 	}
