--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -119,7 +119,7 @@
 	if v.Empty() || !c.policy.Quarantine || c.policy.Mode != admission.ModeFull {
 		return nil
 	}
-	left := v.Left(q.n.clock(), c.marks)
+	left := v.Remaining(q.n.clock(), c.marks)
 	if left == 0 {
 		return nil
 	}
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -25,15 +25,15 @@
 	table := newTable()
 	g.Expect(recordPoisonTermination(table, 0, 1)).To(gomega.BeEmpty())
 	g.Expect(recordPoisonTermination(table, 0, 2)).To(gomega.BeEmpty())
-	g.Expect(table.View(0).Left(0, Fingerprints{Content: poison})).To(gomega.BeZero())
+	g.Expect(table.View(0).Remaining(0, Fingerprints{Content: poison})).To(gomega.BeZero())
 	held := recordPoisonTermination(table, time.Second, 3)
 	g.Expect(held).To(gomega.HaveLen(1))
 	g.Expect(held[0].Mark).To(gomega.Equal(poison))
 	v := table.View(time.Second)
-	g.Expect(v.Left(time.Second, Fingerprints{Content: poison})).To(gomega.BeNumerically(">=", initialQuarantine))
-	g.Expect(v.Left(time.Second, Fingerprints{Content: 5, Caller: poison})).To(gomega.BeNumerically(">=", initialQuarantine))
-	g.Expect(v.Left(time.Second, Fingerprints{Content: 1001})).To(gomega.BeZero(), "a request in flight at one termination")
-	g.Expect(v.Left(time.Second, Fingerprints{})).To(gomega.BeZero(), "a request without fingerprints")
+	g.Expect(v.Remaining(time.Second, Fingerprints{Content: poison})).To(gomega.BeNumerically(">=", initialQuarantine))
+	g.Expect(v.Remaining(time.Second, Fingerprints{Content: 5, Caller: poison})).To(gomega.BeNumerically(">=", initialQuarantine))
+	g.Expect(v.Remaining(time.Second, Fingerprints{Content: 1001})).To(gomega.BeZero(), "a request in flight at one termination")
+	g.Expect(v.Remaining(time.Second, Fingerprints{})).To(gomega.BeZero(), "a request without fingerprints")
 }
 
 func TestTerminationIsCountedOnce(t *testing.T) {
@@ -68,7 +68,7 @@
 	g.Expect(table.View(0).Empty()).To(gomega.BeTrue())
 	recordPoisonTermination(table, 0, 10)
 	recordPoisonTermination(table, 0, 11)
-	g.Expect(table.View(0).Left(0, Fingerprints{Content: poison})).To(gomega.BeZero(), "counting starts afresh")
+	g.Expect(table.View(0).Remaining(0, Fingerprints{Content: poison})).To(gomega.BeZero(), "counting starts afresh")
 }
 
 // A request that terminates every server and is resent all the time must run at most once
@@ -80,7 +80,7 @@
 	table := newTable()
 	var runs []time.Duration
 	for now := time.Duration(0); now < 2*time.Hour; now += resend {
-		if table.View(now).Left(now, Fingerprints{Content: poison}) == 0 {
+		if table.View(now).Remaining(now, Fingerprints{Content: poison}) == 0 {
 			runs = append(runs, now)
 			recordPoisonTermination(table, now, len(runs))
 		}
@@ -154,13 +154,13 @@
 		recordPoisonTermination(table, 0, i)
 	}
 	longest := initialQuarantine + time.Duration(quarantineJitter*float64(initialQuarantine))
-	g.Expect(table.View(longest).Left(longest, Fingerprints{Content: poison})).To(gomega.BeZero())
+	g.Expect(table.View(longest).Remaining(longest, Fingerprints{Content: poison})).To(gomega.BeZero())
 	g.Expect(table.Held(longest)).To(gomega.BeEmpty())
 	later := suspectLifetime + time.Second
 	g.Expect(table.View(later).Empty()).To(gomega.BeTrue())
 	recordPoisonTermination(table, later, 20)
 	recordPoisonTermination(table, later, 21)
-	g.Expect(table.View(later).Left(later, Fingerprints{Content: poison})).To(gomega.BeZero(), "counting starts afresh")
+	g.Expect(table.View(later).Remaining(later, Fingerprints{Content: poison})).To(gomega.BeZero(), "counting starts afresh")
 }
 
 // Mass terminations must neither grow the table beyond its bounds nor end a quarantine.
@@ -186,7 +186,7 @@
 	g.Expect(len(table.old)).To(gomega.BeNumerically("<=", generationSize))
 	g.Expect(len(table.repeat)).To(gomega.BeNumerically("<=", maxRepeatSuspects))
 	g.Expect(len(table.terminatedIncarnations)).To(gomega.BeNumerically("<=", maxTerminatedIncarnations))
-	g.Expect(table.View(time.Second).Left(time.Second, Fingerprints{Content: poison})).NotTo(gomega.BeZero())
+	g.Expect(table.View(time.Second).Remaining(time.Second, Fingerprints{Content: poison})).NotTo(gomega.BeZero())
 }
 
 func TestStartedNodeAdoptsQuarantine(t *testing.T) {
@@ -196,12 +196,12 @@
 		recordPoisonTermination(table, 0, i)
 	}
 	other.Adopt(time.Minute, table.Held(5*time.Second))
-	left := other.View(time.Minute).Left(time.Minute, Fingerprints{Content: poison})
-	g.Expect(left).To(gomega.BeNumerically("~", table.View(0).Left(5*time.Second, Fingerprints{Content: poison}), time.Millisecond))
+	left := other.View(time.Minute).Remaining(time.Minute, Fingerprints{Content: poison})
+	g.Expect(left).To(gomega.BeNumerically("~", table.View(0).Remaining(5*time.Second, Fingerprints{Content: poison}), time.Millisecond))
 	g.Expect(recordPoisonTermination(other, time.Minute+left+time.Second, 50)[0].Round).To(gomega.Equal(2), "the next termination follows another try")
 	other.Adopt(0, []QuarantinedRequest{{Mark: 9, Round: 1, Left: -time.Second}, {Mark: 0, Round: 1, Left: time.Hour}})
-	g.Expect(other.View(0).Left(0, Fingerprints{Content: 9})).To(gomega.BeZero())
-	g.Expect(other.View(0).Left(0, Fingerprints{})).To(gomega.BeZero())
+	g.Expect(other.View(0).Remaining(0, Fingerprints{Content: 9})).To(gomega.BeZero())
+	g.Expect(other.View(0).Remaining(0, Fingerprints{})).To(gomega.BeZero())
 }
 
 func TestRecentAnswersExpire(t *testing.T) {
@@ -229,7 +229,7 @@
 	var a RecentAnswers
 	for i := range b.N {
 		m := Fingerprints{Content: Fingerprint(i) << 20, Caller: Fingerprint(i) << 21}
-		v.Left(0, m)
+		v.Remaining(0, m)
 		a.Note(time.Duration(i), m)
 	}
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -318,6 +318,6 @@
 }
 
 // Left returns how long requests with the fingerprints are refused, 0 if they are not.
-func (v *View) Left(now time.Duration, m Fingerprints) time.Duration {
+func (v *View) Remaining(now time.Duration, m Fingerprints) time.Duration {
 	return max(0, v.entries[m.Content].quarantinedUntil-now, v.entries[m.Caller].quarantinedUntil-now)
 }
