--- a/fault/fault.go
+++ b/fault/fault.go
@@ -225,7 +225,7 @@
 }
 
 // After sets the delay before a retry and returns e.
-func (e *Error) After(d time.Duration) *Error {
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -135,7 +135,7 @@
 		}
 	}
 	e := fault.New(code, "refused further down: "+p.Detail).WithUnknownExecution()
-	return nil, e.After(time.Duration(p.RetryAfterMs) * time.Millisecond)
+	return nil, e.WithRetryAfter(time.Duration(p.RetryAfterMs) * time.Millisecond)
 }
 
 // pathLevel is the level that a new request of this kind must pass at the
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -123,7 +123,7 @@
 	if left == 0 {
 		return nil
 	}
-	return fault.Newf(fault.Quarantined, "%d backend servers ended while they ran requests like this one", v.Terminations(c.marks)).After(left)
+	return fault.Newf(fault.Quarantined, "%d backend servers ended while they ran requests like this one", v.Terminations(c.marks)).WithRetryAfter(left)
 }
 
 // ends returns how many backend servers ended under requests like the call, 0 for fewer
