--- a/claims/claims.go
+++ b/claims/claims.go
@@ -28,7 +28,7 @@
 // The operations.
 const (
 	// Begin claims a key for a token.
-	Begin Op = iota + 1
+	OpBegin Op = iota + 1
 	// Finish stores the outcome of a claimed key.
 	Finish
 	// Release gives up the claim of a key whose request was certainly not executed.
@@ -200,7 +200,7 @@
 	st.evictExpired(c.Kind)
 	held := st.claims[claimID(c.Kind, c.Key)]
 	switch c.Op {
-	case Begin:
+	case OpBegin:
 		return st.begin(c, held)
 	case Finish:
 		return st.finish(c, held)
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -88,7 +88,7 @@
 			tokens++
 			made := now - int64(rapid.IntRange(0, 3).Draw(t, "age"))*700
 			c := Command{
-				Op: Begin, Kind: "k", Key: keyAt(made-made%500, rapid.IntRange(0, 2).Draw(t, "n")), Token: fmt.Sprint(tokens),
+				Op: OpBegin, Kind: "k", Key: keyAt(made-made%500, rapid.IntRange(0, 2).Draw(t, "n")), Token: fmt.Sprint(tokens),
 				Fingerprint: 1, NowMs: now, LeaseMs: 300, RetainMs: int64(rapid.SampledFrom([]int{1000, 1000, 2500}).Draw(t, "retain")),
 			}
 			log = append(log, c)
@@ -114,7 +114,7 @@
 func applyAndCheck(st *Store, o *grantOracle, c Command, fail func(string, ...any)) {
 	r := st.Apply(&c)
 	switch {
-	case c.Op == Begin && r.Verdict == Granted && o.holder[c.Key] != c.Token:
+	case c.Op == OpBegin && r.Verdict == Granted && o.holder[c.Key] != c.Token:
 		o.activeGrants[c.Key]++
 		o.holder[c.Key] = c.Token
 		if o.activeGrants[c.Key] > 1 {
@@ -134,7 +134,7 @@
 	now := int64(1_790_000_000_000)
 	key := keyAt(now, 1)
 	begin := func(token string, at int64, print uint64) Verdict {
-		return st.Apply(&Command{Op: Begin, Kind: "k", Key: key, Token: token, Fingerprint: print, NowMs: at, LeaseMs: 100, RetainMs: 1000}).Verdict
+		return st.Apply(&Command{Op: OpBegin, Kind: "k", Key: key, Token: token, Fingerprint: print, NowMs: at, LeaseMs: 100, RetainMs: 1000}).Verdict
 	}
 	g.Expect(begin("a", now, 1)).To(gomega.Equal(Granted))
 	g.Expect(begin("b", now+50, 1)).To(gomega.Equal(Running))
--- a/internal/node/once.go
+++ b/internal/node/once.go
@@ -95,7 +95,7 @@
 // begin claims the key. If it cannot be known whether the claim was made, the
 // request is not run, and a release is left behind: this token is never used.
 func (o *once) begin() (claims.Result, *fault.Error) {
-	cmd := o.command(claims.Begin)
+	cmd := o.command(claims.OpBegin)
 	cmd.Fingerprint = o.fingerprint()
 	cmd.LeaseMs = (o.c.scope.Remaining() + claimGrace).Milliseconds()
 	cmd.RetainMs = o.c.policy.KeyRetention.Milliseconds()
