--- a/claims/bench_test.go
+++ b/claims/bench_test.go
@@ -15,7 +15,7 @@
 		key := keyAt(now+int64(i/1000), i%65536)
 		c := Command{Op: OpBegin, Kind: "f/s/k", Key: key, Token: "t", NowMs: now, LeaseMs: 5000, RetainMs: 86_400_000}
 		st.Apply(&c)
-		c.Op, c.Outcome = Finish, out
+		c.Op, c.Outcome = OpFinish, out
 		st.Apply(&c)
 	}
 }
@@ -32,7 +32,7 @@
 			key := keyAt(1_790_000_000_000+int64(i), 1)
 			c := Command{Op: OpBegin, Kind: "f/s/k", Key: key, Token: fmt.Sprint(i), NowMs: 1_790_000_000_000, LeaseMs: 5000, RetainMs: 86_400_000}
 			st.Apply(&c)
-			c.Op, c.Outcome = Finish, &Outcome{Status: 200, Body: make([]byte, 200)}
+			c.Op, c.Outcome = OpFinish, &Outcome{Status: 200, Body: make([]byte, 200)}
 			st.Apply(&c)
 		}
 		runtime.GC()
--- a/claims/claims.go
+++ b/claims/claims.go
@@ -30,7 +30,7 @@
 	// Begin claims a key for a token.
 	OpBegin Op = iota + 1
 	// Finish stores the outcome of a claimed key.
-	Finish
+	OpFinish
 	// Release gives up the claim of a key whose request was certainly not executed.
 	Release
 )
@@ -202,7 +202,7 @@
 	switch c.Op {
 	case OpBegin:
 		return st.begin(c, held)
-	case Finish:
+	case OpFinish:
 		return st.finish(c, held)
 	case Release:
 		return st.release(c, held)
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -99,7 +99,7 @@
 			}
 			c := log[rapid.IntRange(0, len(log)-1).Draw(t, "which")]
 			c.NowMs = now
-			c.Op = rapid.SampledFrom([]Op{Finish, Release}).Draw(t, "op")
+			c.Op = rapid.SampledFrom([]Op{OpFinish, Release}).Draw(t, "op")
 			c.Outcome = &Outcome{Status: 200}
 			if c.Op == Release && o.finished[c.Key+c.Token] {
 				// A holder never releases a key that it has finished.
@@ -123,7 +123,7 @@
 	case c.Op == Release && r.Verdict == Applied:
 		o.activeGrants[c.Key]--
 		o.holder[c.Key] = ""
-	case c.Op == Finish:
+	case c.Op == OpFinish:
 		o.finished[c.Key+c.Token] = true
 	}
 }
@@ -142,7 +142,7 @@
 	g.Expect(begin("b", now+200, 1)).To(gomega.Equal(OutcomeUnknown))
 	// The holder reports after its lease expired; its outcome is accepted.
 	out := &Outcome{Status: 201}
-	g.Expect(st.Apply(&Command{Op: Finish, Kind: "k", Key: key, Token: "a", NowMs: now + 300, Outcome: out}).Verdict).To(gomega.Equal(Applied))
+	g.Expect(st.Apply(&Command{Op: OpFinish, Kind: "k", Key: key, Token: "a", NowMs: now + 300, Outcome: out}).Verdict).To(gomega.Equal(Applied))
 	g.Expect(begin("c", now+400, 1)).To(gomega.Equal(Replay))
 	g.Expect(begin("c", now+5000, 1)).To(gomega.Equal(Expired))
 }
--- a/internal/node/once.go
+++ b/internal/node/once.go
@@ -159,7 +159,7 @@
 	if len(body) > claims.MaxBody {
 		out.Body, out.Truncated = nil, true
 	}
-	cmd := o.command(claims.Finish)
+	cmd := o.command(claims.OpFinish)
 	cmd.Outcome = out
 	if _, ferr := o.submit(&cmd, reportTimeout); ferr != nil {
 		o.n.warn("claims", "Cannot store an outcome.", "key", o.key, "err", ferr)
