--- a/claims/claims.go
+++ b/claims/claims.go
@@ -32,7 +32,7 @@
 	// Finish stores the outcome of a claimed key.
 	OpFinish
 	// Release gives up the claim of a key whose request was certainly not executed.
-	Release
+	OpRelease
 )
 
 // Outcome is the stored response of a finished request.
@@ -204,7 +204,7 @@
 		return st.begin(c, held)
 	case OpFinish:
 		return st.finish(c, held)
-	case Release:
+	case OpRelease:
 		return st.release(c, held)
 	}
 	return Result{Verdict: Malformed}
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -99,9 +99,9 @@
 			}
 			c := log[rapid.IntRange(0, len(log)-1).Draw(t, "which")]
 			c.NowMs = now
-			c.Op = rapid.SampledFrom([]Op{OpFinish, Release}).Draw(t, "op")
+			c.Op = rapid.SampledFrom([]Op{OpFinish, OpRelease}).Draw(t, "op")
 			c.Outcome = &Outcome{Status: 200}
-			if c.Op == Release && o.finished[c.Key+c.Token] {
+			if c.Op == OpRelease && o.finished[c.Key+c.Token] {
 				// A holder never releases a key that it has finished.
 				continue
 			}
@@ -120,7 +120,7 @@
 		if o.activeGrants[c.Key] > 1 {
 			fail("key %s was granted %d times", c.Key, o.activeGrants[c.Key])
 		}
-	case c.Op == Release && r.Verdict == Applied:
+	case c.Op == OpRelease && r.Verdict == Applied:
 		o.activeGrants[c.Key]--
 		o.holder[c.Key] = ""
 	case c.Op == OpFinish:
--- a/internal/node/once.go
+++ b/internal/node/once.go
@@ -122,7 +122,7 @@
 }
 
 func (o *once) release() {
-	cmd := o.command(claims.Release)
+	cmd := o.command(claims.OpRelease)
 	if _, ferr := o.submit(&cmd, reportTimeout); ferr != nil {
 		o.n.warn("claims", "Cannot release a key.", "key", o.key, "err", ferr)
 	}
