--- a/fault/fault.go
+++ b/fault/fault.go
@@ -135,7 +135,7 @@
 }
 
 // Status returns the HTTP status for the code.
-func (c Code) Status() int {
+func (c Code) HTTPStatus() int {
 	if c >= numCodes {
 		return http.StatusInternalServerError
 	}
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -358,7 +358,7 @@
 	}
 	if res.Code != fault.None {
 		w.Header().Set("Content-Type", "application/json")
-		w.WriteHeader(res.Code.Status())
+		w.WriteHeader(res.Code.HTTPStatus())
 	}
 	writeJSON(w, ChangeResult{res.ID, res.Version, res.Code.String(), res.Winner, res.Current})
 }
--- a/internal/node/refusal.go
+++ b/internal/node/refusal.go
@@ -30,7 +30,7 @@
 
 // writeRefusal answers a caller at once.
 func writeRefusal(w http.ResponseWriter, id string, e *fault.Error) {
-	status := e.Code.Status()
+	status := e.Code.HTTPStatus()
 	p := Problem{
 		Type: problemTypePrefix + e.Code.String(), Title: http.StatusText(status), Status: status,
 		Detail: e.Error(), Reason: e.Code.String(), Run: e.Run.String(),
