--- a/claims/claims.go
+++ b/claims/claims.go
@@ -27,11 +27,11 @@
 
 // The operations.
 const (
-	// Begin claims a key for a token.
+	// OpBegin claims a key for a token.
 	OpBegin Op = iota + 1
-	// Finish stores the outcome of a claimed key.
+	// OpFinish stores the outcome of a claimed key.
 	OpFinish
-	// Release gives up the claim of a key whose request was certainly not executed.
+	// OpRelease gives up the claim of a key whose request was certainly not executed.
 	OpRelease
 )
 
@@ -87,13 +87,14 @@
 	// NotHolder means that the token does not hold the key, or that the key to release is
 	// already finished.
 	NotHolder
-	// Applied means that a Finish or Release took effect.
+	// Applied means that an OpFinish or OpRelease took effect.
 	Applied
 	// Malformed means that the key is not a UUID of version 7 or lies too far in the
 	// future, or that the operation is unknown.
 	Malformed
 )
 
+// verdictFaults maps the verdicts that refuse a request to their fault codes.
 var verdictFaults = map[Verdict]fault.Code{
 	Running: fault.KeyRunning, OutcomeUnknown: fault.OutcomeUnknown, Mismatch: fault.KeyMismatch,
 	Expired: fault.KeyExpired, NotHolder: fault.KeyRunning, Malformed: fault.BadRequest,
@@ -111,14 +112,18 @@
 // claim is the stored state of a key. Its exported fields are part of the snapshot
 // encoding.
 type claim struct {
-	Kind        string
-	Key         string
-	MadeMs      int64
-	ForgetMs    int64
+	Kind string
+	Key  string
+	// MadeMs is the key's creation time, and ForgetMs the end of its retention, in Unix
+	// milliseconds.
+	MadeMs   int64
+	ForgetMs int64
+	// Token identifies the attempt that holds the key.
 	Token       string
 	Fingerprint uint64
-	LeaseEndMs  int64
-	Outcome     *Outcome
+	// LeaseEndMs is the end of the lease, in Unix milliseconds.
+	LeaseEndMs int64
+	Outcome    *Outcome
 
 	// heapIndex is the position in the heap of the kind's claims.
 	heapIndex int
@@ -135,7 +140,9 @@
 
 // Store is the state machine of a shard. It is not safe for concurrent use.
 type Store struct {
-	clock          int64
+	// clock is the highest time seen, in Unix milliseconds.
+	clock int64
+	// evictionFloors is as State.Floors.
 	evictionFloors map[string]int64
 	claims         map[string]*claim
 	// claimsByAge orders the claims of each kind by the creation time of their keys.
@@ -228,7 +235,7 @@
 	return Result{Verdict: Granted}
 }
 
-// beginExisting returns the verdict on a Begin for a stored key. The holder's own token
+// beginExisting returns the verdict on an OpBegin for a stored key. The holder's own token
 // is granted again, since its command may have been duplicated.
 func (st *Store) beginExisting(c *Command, held *claim) Result {
 	switch {
@@ -255,7 +262,7 @@
 	return Result{Verdict: Applied}
 }
 
-// release removes the claim of a key whose request was not executed. Only a new Begin can
+// release removes the claim of a key whose request was not executed. Only a new OpBegin can
 // claim the key again.
 func (st *Store) release(c *Command, held *claim) Result {
 	if held == nil || held.Token != c.Token || held.Outcome != nil {
--- a/fault/fault.go
+++ b/fault/fault.go
@@ -91,6 +91,8 @@
 	exitCode   int
 }
 
+// codeTable is indexed by Code. The names and numbers are part of the HTTP interface, the
+// metrics and the command line.
 var codeTable = [numCodes]codeProperties{
 	None:             {"none", http.StatusOK, 0},
 	Overload:         {"overload", http.StatusServiceUnavailable, 10},
@@ -134,7 +136,7 @@
 	return codeTable[c].slug
 }
 
-// Status returns the HTTP status for the code.
+// HTTPStatus returns the HTTP status for the code.
 func (c Code) HTTPStatus() int {
 	if c >= numCodes {
 		return http.StatusInternalServerError
@@ -224,7 +226,7 @@
 	return e
 }
 
-// After sets the delay before a retry and returns e.
+// WithRetryAfter sets the delay before a retry and returns e.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -49,11 +49,11 @@
 
 // Termination is the termination of a backend server.
 type Termination struct {
-	// Start identifies the incarnation of the backend server that terminated.
+	// Incarnation identifies the incarnation of the backend server that terminated.
 	Incarnation string
 	// Service is the service of the backend server.
 	Service string
-	// Marks are the fingerprints of the requests that the backend server had in flight.
+	// Fingerprints are those of the requests that the backend server had in flight.
 	Fingerprints []Fingerprint
 }
 
@@ -317,7 +317,7 @@
 	return max(v.entries[m.Content].terminations, v.entries[m.Caller].terminations)
 }
 
-// Left returns how long requests with the fingerprints are refused, 0 if they are not.
+// Remaining returns how long requests with the fingerprints are refused, 0 if they are not.
 func (v *View) Remaining(now time.Duration, m Fingerprints) time.Duration {
 	return max(0, v.entries[m.Content].quarantinedUntil-now, v.entries[m.Caller].quarantinedUntil-now)
 }
