--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -41,7 +41,7 @@
 	Config  uint64
 	// Held are the requests that the answering node refuses, for a node that has
 	// just started.
-	Held []quarantine.Held
+	Held []quarantine.QuarantinedRequest
 }
 
 // FetchRequest asks for the settings after a version.
@@ -114,7 +114,7 @@
 	Result []byte
 	Code   fault.Code
 	// Run tells whether the command may be applied all the same.
-	Run    fault.Run
+	Run    fault.Execution
 	Detail string
 	// Leader is the control address of the leader as far as known.
 	Leader string
@@ -241,10 +241,10 @@
 			closed = true
 			p.drop(addr, c)
 		}
-		return closed, fault.Wrap(fault.PeerLost, call.Error, method+" at "+addr).Unknown()
+		return closed, fault.Wrap(fault.PeerLost, call.Error, method+" at "+addr).WithUnknownExecution()
 	case <-t.C:
 		p.drop(addr, c)
-		return false, fault.New(fault.PeerSilent, "no answer to "+method+" from "+addr).Unknown()
+		return false, fault.New(fault.PeerSilent, "no answer to "+method+" from "+addr).WithUnknownExecution()
 	}
 }
 
--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -65,7 +65,7 @@
 	// code is fault.None for an answer of the server, which says failed if below is
 	// set.
 	code fault.Code
-	run  fault.Run
+	run  fault.Execution
 	// below is set if a call that the server made failed.
 	below bool
 	// level is what sheds the request, for the time to come back.
@@ -73,7 +73,7 @@
 	// offered tells whether a server was offered the call.
 	offered bool
 	// report is what the answer tells of the instance, and path of what is below it.
-	report route.Report
+	report route.Outcome
 	path   rank.Level
 	// spent is how much of its lease the attempt used.
 	spent int
@@ -87,16 +87,16 @@
 	boot := n.boot
 	p.after(c.deadline-p.now, func() {
 		if n.boot == boot {
-			n.end(c, answer{code: fault.Deadline, run: fault.RunUnknown})
+			n.end(c, answer{code: fault.Deadline, run: fault.ExecutionUnknown})
 		}
 	})
 	if c.depth == 0 {
 		if l := n.entered.Level(c.root.Name, p.now); !l.Admits(c.rank, 0) {
-			n.end(c, answer{code: fault.Overload, run: fault.RunNo, level: l})
+			n.end(c, answer{code: fault.Overload, run: fault.NotExecuted, level: l})
 			return
 		}
 	} else if !n.hold(c) {
-		n.end(c, answer{code: fault.ShareSpent, run: fault.RunNo, level: rank.Count / 4})
+		n.end(c, answer{code: fault.ShareSpent, run: fault.NotExecuted, level: rank.Count / 4})
 		return
 	}
 	share := n.share(c.kind.Service)
@@ -142,7 +142,7 @@
 		c.cancel()
 	}
 	if c.mayHaveRun && a.code != fault.None {
-		a.run = fault.RunUnknown
+		a.run = fault.ExecutionUnknown
 	}
 	delete(n.callers, c)
 	if c.waits != nil {
@@ -163,25 +163,25 @@
 		Options: route.Options{SpillAt: p.fleet.Policy.SpillAt, EjectMax: p.fleet.Policy.EjectMax, Ramp: p.fleet.Policy.Ramp},
 	}
 	if c.state.MaxOffered > 0 && c.state.Offered >= c.state.MaxOffered {
-		q.Among = c.sentTo
+		q.Allowed = c.sentTo
 	}
 	in, code := n.routes.Pick(&q, p.rng)
 	if in == nil {
-		n.attempted(c, nil, answer{code: code, run: fault.RunNo, level: rank.Count / 2})
+		n.attempted(c, nil, answer{code: code, run: fault.NotExecuted, level: rank.Count / 2})
 		return
 	}
-	in.Seen.Begin()
+	in.Observed.Begin()
 	if in.ID == n.id {
 		w := n.accept(c, c.pool, c.repeat, func(a answer) {
 			c.cancel = nil
 			n.pathOf(c).Observe(c.root.Name, c.kind.Service, a.path, p.now)
 			a.report.Took = 0
-			in.Seen.End(p.now, a.report, p.eject())
+			in.Observed.End(p.now, a.report, p.eject())
 			n.attempted(c, in, a)
 		})
 		if !w.ended {
 			c.cancel = func() {
-				in.Seen.End(p.now, route.Report{}, p.eject())
+				in.Observed.End(p.now, route.Outcome{}, p.eject())
 				w.cancel()
 			}
 		}
@@ -209,13 +209,13 @@
 		c.cancel = nil
 		if a.code == fault.PeerSilent {
 			c.pool.ForfeitLease(lease)
-			in.Seen.CutOff(true)
+			in.Observed.SetUnreachable(true)
 		} else {
 			c.pool.SettleLease(lease, a.spent)
 			n.pathOf(c).Observe(c.root.Name, c.kind.Service, a.path, p.now)
 			a.report.Took = p.now - began
 		}
-		in.Seen.End(p.now, a.report, p.eject())
+		in.Observed.End(p.now, a.report, p.eject())
 		n.attempted(c, in, a)
 	}
 	c.cancel = func() {
@@ -224,7 +224,7 @@
 		}
 		open = false
 		c.pool.ForfeitLease(lease)
-		in.Seen.End(p.now, route.Report{Waited: p.now - began}, p.eject())
+		in.Observed.End(p.now, route.Outcome{Waited: p.now - began}, p.eject())
 		p.after(way, func() {
 			if w != nil {
 				w.cancel()
@@ -233,7 +233,7 @@
 	}
 	silent := func() {
 		p.after(p.fleet.Policy.Silence, func() {
-			back(answer{code: fault.PeerSilent, run: fault.RunUnknown, report: route.Report{Failed: true}})
+			back(answer{code: fault.PeerSilent, run: fault.ExecutionUnknown, report: route.Outcome{Failed: true}})
 		})
 	}
 	p.after(way, func() {
@@ -264,8 +264,8 @@
 	if c.ended {
 		return
 	}
-	c.mayHaveRun = c.mayHaveRun || a.run != fault.RunNo
-	if in != nil && (a.offered || a.run != fault.RunNo) && !in.In(c.sentTo) {
+	c.mayHaveRun = c.mayHaveRun || a.run != fault.NotExecuted
+	if in != nil && (a.offered || a.run != fault.NotExecuted) && !in.IsAnyOf(c.sentTo) {
 		c.sentTo = append(c.sentTo, in)
 		c.state.Offered = len(c.sentTo)
 	}
--- a/internal/fleetmodel/play.go
+++ b/internal/fleetmodel/play.go
@@ -128,7 +128,7 @@
 		}
 		// Servers have served for long when the play begins.
 		in := &route.Instance{
-			ID: n.id, Domain: strconv.Itoa(n.domain), Slots: n.server.spec.Slots, Weight: 1, Since: -time.Hour, Seen: &route.Observed{},
+			ID: n.id, Domain: strconv.Itoa(n.domain), Slots: n.server.spec.Slots, Weight: 1, Since: -time.Hour, Observed: &route.Observations{},
 		}
 		domains[name][n.domain] = append(domains[name][n.domain], in)
 	}
@@ -137,9 +137,9 @@
 		for d, ins := range byDomain {
 			switch {
 			case d == of.domain:
-				svc.Own = ins
+				svc.LocalInstances = ins
 			case len(ins) > 0:
-				svc.Others = append(svc.Others, ins)
+				svc.RemoteDomains = append(svc.RemoteDomains, ins)
 			}
 		}
 		s.Services[name] = svc
@@ -182,7 +182,7 @@
 func (p *play) ask(r *request) {
 	n := p.entry()
 	if n == nil {
-		p.res.ended(r, answer{code: fault.NoBackend, run: fault.RunNo}, p.now)
+		p.res.ended(r, answer{code: fault.NoBackend, run: fault.NotExecuted}, p.now)
 		return
 	}
 	c := &call{
@@ -195,7 +195,7 @@
 	// A caller whose node lost power finds out at once.
 	n.callers[c] = func() {
 		c.ended = true
-		p.answered(r, answer{code: fault.PeerLost, run: fault.RunUnknown})
+		p.answered(r, answer{code: fault.PeerLost, run: fault.ExecutionUnknown})
 	}
 	n.begin(c)
 }
@@ -213,7 +213,7 @@
 
 // answered ends an attempt of a caller.
 func (p *play) answered(r *request, a answer) {
-	again := r.left > 0 && (a.run == fault.RunNo || r.kind.Idempotent)
+	again := r.left > 0 && (a.run == fault.NotExecuted || r.kind.Idempotent)
 	if a.ok() || !again {
 		p.res.ended(r, a, p.now)
 		return
--- a/internal/fleetmodel/trouble.go
+++ b/internal/fleetmodel/trouble.go
@@ -114,7 +114,7 @@
 		for _, n := range p.nodes {
 			for _, in := range n.all(back.server.spec.Name) {
 				if in.ID == back.id {
-					in.Seen.CutOff(false)
+					in.Observed.SetUnreachable(false)
 				}
 			}
 		}
@@ -124,5 +124,5 @@
 // all returns the instances of a service, as the node sees them.
 func (n *node) all(service string) []*route.Instance {
 	svc := n.routes.Services[service]
-	return slices.Concat(append([][]*route.Instance{svc.Own}, svc.Others...)...)
+	return slices.Concat(append([][]*route.Instance{svc.LocalInstances}, svc.RemoteDomains...)...)
 }
--- a/internal/fleetmodel/work.go
+++ b/internal/fleetmodel/work.go
@@ -67,7 +67,7 @@
 }
 
 func (w *work) refuse(code fault.Code) {
-	w.end(answer{code: code, run: fault.RunNo, level: w.n.guard.Level()})
+	w.end(answer{code: code, run: fault.NotExecuted, level: w.n.guard.Level()})
 }
 
 // start runs the work in a slot.
@@ -78,7 +78,7 @@
 	if p.rng.Float64() < n.server.shed {
 		// The server's own word comes back at once.
 		w.release(admission.Outcome{Pushback: true})
-		w.end(answer{code: fault.Rejected, run: fault.RunNo, offered: true, report: route.Report{Rejected: true}})
+		w.end(answer{code: fault.Rejected, run: fault.NotExecuted, offered: true, report: route.Outcome{Rejected: true}})
 		return
 	}
 	p.after(n.server.time(p.rng, w.call.kind.Kind), func() {
@@ -138,7 +138,7 @@
 		delete(p.works, w)
 		return
 	}
-	w.end(answer{run: fault.RunYes, below: w.failed, offered: true})
+	w.end(answer{run: fault.Executed, below: w.failed, offered: true})
 }
 
 // release frees the slot and starts who waited for it.
@@ -195,8 +195,8 @@
 	}
 	if w.open != nil {
 		w.open.done = func(answer) {}
-		w.n.end(w.open, answer{code: fault.Canceled, run: fault.RunUnknown})
+		w.n.end(w.open, answer{code: fault.Canceled, run: fault.ExecutionUnknown})
 	}
 	w.release(admission.Outcome{Kind: w.call.kind.index, ServiceTime: w.n.p.now - w.since, Expired: true})
-	w.end(answer{code: fault.Canceled, run: fault.RunUnknown})
+	w.end(answer{code: fault.Canceled, run: fault.ExecutionUnknown})
 }
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -361,12 +361,12 @@
 	}
 	var res confstore.Result
 	if err := msgpack.Unmarshal(b, &res); err != nil {
-		writeProblem(w, req.ID, fault.Wrap(fault.Internal, err, "malformed result of a change").Unknown())
+		writeProblem(w, req.ID, fault.Wrap(fault.Internal, err, "malformed result of a change").WithUnknownExecution())
 		return
 	}
 	if res.Code != fault.None {
 		w.Header().Set("Content-Type", "application/json")
-		w.WriteHeader(res.Code.Status())
+		w.WriteHeader(res.Code.HTTPStatus())
 	}
 	writeJSON(w, ChangeResult{res.ID, res.Version, res.Code.String(), res.Winner, res.Current})
 }
--- a/internal/node/call.go
+++ b/internal/node/call.go
@@ -51,7 +51,7 @@
 	// caller is the identity of the caller if the platform's adapter provides it. fingerprints
 	// identify similar requests for quarantine.
 	caller       string
-	fingerprints quarantine.Marks
+	fingerprints quarantine.Fingerprints
 
 	// attempts counts the attempts, retries included.
 	attempts int
--- a/internal/node/document.go
+++ b/internal/node/document.go
@@ -55,14 +55,14 @@
 		}
 		b, ferr := n.submitCommand(configGroup, encodeMsgpack(&change), time.Until(deadline))
 		if ferr != nil {
-			if uncertain && ferr.Run == fault.RunNo {
-				ferr.Run = fault.RunUnknown
+			if uncertain && ferr.Run == fault.NotExecuted {
+				ferr.Run = fault.ExecutionUnknown
 			}
 			return confstore.Result{}, ferr
 		}
 		var res confstore.Result
 		if err := msgpack.Unmarshal(b, &res); err != nil {
-			return res, fault.Wrap(fault.Internal, err, "malformed result of a change").Unknown()
+			return res, fault.Wrap(fault.Internal, err, "malformed result of a change").WithUnknownExecution()
 		}
 		stale := res.Code == fault.Conflict && res.Revision == r.Base && res.Revision < r.Revision
 		if !stale || time.Now().After(deadline) {
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -36,7 +36,7 @@
 	}
 	stop := context.AfterFunc(r.Context(), c.cancelForDisconnect)
 	defer stop()
-	conn := callers.Of(r.Context())
+	conn := callers.FromContext(r.Context())
 	conn.Watch(c.cancelForDisconnect)
 	defer conn.Unwatch()
 	defer c.scope.Close()
@@ -296,11 +296,11 @@
 	w.WriteHeader(resp.status)
 	if err := copyBody(w, resp.body); err != nil {
 		n.stats.brokenResponses.Add(1)
-		n.recordOutcome(c, fault.PeerLost, fault.RunUnknown)
+		n.recordOutcome(c, fault.PeerLost, fault.ExecutionUnknown)
 		panic(http.ErrAbortHandler)
 	}
 	n.quarantine.recordResponse(c)
-	n.recordOutcome(c, fault.None, fault.RunYes)
+	n.recordOutcome(c, fault.None, fault.Executed)
 }
 
 // copyBuffers pools the buffers for copying responses to callers.
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -65,7 +65,7 @@
 		if mayHaveTerminatedBackend(ferr) {
 			c.brokenAttempts++
 		}
-		c.mayHaveExecuted = c.mayHaveExecuted || ferr == nil || ferr.Run != fault.RunNo
+		c.mayHaveExecuted = c.mayHaveExecuted || ferr == nil || ferr.Run != fault.NotExecuted
 		c.recordOffer(in, ferr)
 		if ferr == nil && !n.isRetryableResponse(c, resp) {
 			return n.unwrapRefusal(c, resp)
@@ -76,7 +76,7 @@
 			}
 			if c.mayHaveExecuted {
 				// An earlier attempt may have been executed, even if the last one was not.
-				ferr.Run = fault.RunUnknown
+				ferr.Run = fault.ExecutionUnknown
 			}
 			return nil, ferr
 		}
@@ -137,8 +137,8 @@
 			code = known
 		}
 	}
-	e := fault.New(code, "nested call refused: "+p.Detail).Unknown()
-	return nil, e.After(time.Duration(p.RetryAfterMs) * time.Millisecond)
+	e := fault.New(code, "nested call refused: "+p.Detail).WithUnknownExecution()
+	return nil, e.WithRetryAfter(time.Duration(p.RetryAfterMs) * time.Millisecond)
 }
 
 // pathLevel returns the admission level that a request must pass at its entry. It is 0 for
@@ -224,8 +224,8 @@
 
 // recordOffer records the instance if its backend server was offered the call.
 func (c *call) recordOffer(in *route.Instance, e *fault.Error) {
-	offered := e == nil || e.Run != fault.RunNo || e.Code == fault.Rejected
-	if in != nil && offered && !in.In(c.offeredTo) {
+	offered := e == nil || e.Run != fault.NotExecuted || e.Code == fault.Rejected
+	if in != nil && offered && !in.IsAnyOf(c.offeredTo) {
 		c.offeredTo = append(c.offeredTo, in)
 	}
 }
@@ -243,7 +243,7 @@
 	c.attempts++
 	now := n.clock()
 	q := route.Query{
-		Service: c.service, Rank: c.rank, Depth: c.depth, Now: now, Avoid: c.avoidInstance, AvoidIfOthers: c.lastFailure == fault.Rejected, Among: c.allowedInstances(),
+		Service: c.service, Rank: c.rank, Depth: c.depth, Now: now, Avoid: c.avoidInstance, AvoidIfOthers: c.lastFailure == fault.Rejected, Allowed: c.allowedInstances(),
 		Options: route.Options{SpillAt: c.policy.SpillAt, EjectMax: c.policy.EjectMax, Ramp: c.policy.Ramp},
 	}
 	if c.policy.Mode != admission.ModeFull {
@@ -253,12 +253,12 @@
 	if code != fault.None {
 		return nil, nil, c.refusal(code, "no instance of "+c.service+" accepts this request", rank.Count/2)
 	}
-	in.Seen.Begin()
+	in.Observed.Begin()
 	if in.ID == n.id {
 		resp, ferr := n.runOnLocalBackend(c, c.retryBudget)
 		report := n.localAttemptReport(resp, ferr)
 		n.pathLevelsFor(c).Observe(c.rootTarget, c.service, n.maxLevelBelow(c, report.Level), n.clock())
-		in.Seen.End(n.clock(), report, n.ejectOptions(c))
+		in.Observed.End(n.clock(), report, n.ejectOptions(c))
 		return resp, in, ferr
 	}
 	resp, ferr := n.sendToPeer(c, in, now)
@@ -302,9 +302,9 @@
 }
 
 // localAttemptReport returns the routing report on an attempt at the local backend server.
-func (n *Node) localAttemptReport(resp *response, e *fault.Error) route.Report {
+func (n *Node) localAttemptReport(resp *response, e *fault.Error) route.Outcome {
 	load := n.gate.load()
-	r := route.Report{HasLoad: true, Level: load.level, InFlight: uint16(load.inflight), Limit: uint16(load.limit)}
+	r := route.Outcome{HasLoad: true, Level: load.level, InFlight: uint16(load.inflight), Limit: uint16(load.limit)}
 	r.Failed = isInstanceFailure(resp, e)
 	r.Rejected = e != nil && e.Code == fault.Rejected
 	return r
@@ -339,16 +339,16 @@
 	if err != nil {
 		c.retryBudget.ForfeitLease(lease)
 		ferr := fault.From(err)
-		report := route.Report{Failed: isInstanceFailure(nil, ferr)}
+		report := route.Outcome{Failed: isInstanceFailure(nil, ferr)}
 		if ferr.Code == fault.Deadline {
 			report.Waited = n.clock() - now
 		}
-		in.Seen.End(n.clock(), report, n.ejectOptions(c))
+		in.Observed.End(n.clock(), report, n.ejectOptions(c))
 		if isInstanceFailure(nil, ferr) {
 			n.reportEjection(in, ferr)
 		}
-		if ferr.Code == fault.PeerSilent || ferr.Code == fault.PeerLost && ferr.Run == fault.RunNo {
-			n.peers.markUnreachable(in.Addr, in.Seen)
+		if ferr.Code == fault.PeerSilent || ferr.Code == fault.PeerLost && ferr.Run == fault.NotExecuted {
+			n.peers.markUnreachable(in.Addr, in.Observed)
 		}
 		return nil, ferr
 	}
@@ -362,7 +362,7 @@
 		ferr = &fault.Error{Code: r.Code, Run: r.Run, RetryAfter: r.RetryAfter, Detail: r.Detail}
 		resp = nil
 	}
-	in.Seen.End(n.clock(), route.Report{
+	in.Observed.End(n.clock(), route.Outcome{
 		Failed: isInstanceFailure(resp, ferr), Rejected: r.Code == fault.Rejected, Draining: r.Code == fault.Draining,
 		HasLoad: true, Level: r.Level, InFlight: r.InFlight, Limit: r.Limit, Took: n.clock() - now,
 	}, n.ejectOptions(c))
@@ -375,7 +375,7 @@
 	c := &call{
 		id: r.ID, rootTarget: r.Root, target: r.Target, rank: r.Rank, depth: r.Depth, fromRetry: r.Repeat, scope: x.Scope,
 		method: r.Method, path: r.Path, header: r.Header, bodyLen: r.BodyLen, started: time.Now(),
-		fingerprints: quarantine.Marks{Content: quarantine.Mark(r.Content), Caller: quarantine.Mark(r.Caller)},
+		fingerprints: quarantine.Fingerprints{Content: quarantine.Fingerprint(r.Content), Caller: quarantine.Fingerprint(r.Caller)},
 	}
 	c.retryBudget = &budget.Pool{}
 	c.retryBudget.Reset(int(r.Lease))
@@ -393,7 +393,7 @@
 		return
 	}
 	defer resp.close()
-	reply.Run = fault.RunYes
+	reply.Run = fault.Executed
 	reply.Status = uint16(resp.status)
 	reply.Header = resp.header
 	reply.BodyLen = resp.length
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -131,8 +131,8 @@
 		if s == nil {
 			return 0
 		}
-		total := len(s.Own)
-		for _, d := range s.Others {
+		total := len(s.LocalInstances)
+		for _, d := range s.RemoteDomains {
 			total += len(d)
 		}
 		return total
--- a/internal/node/honest_test.go
+++ b/internal/node/honest_test.go
@@ -57,13 +57,13 @@
 	refuses := startFakePeer(t, func(x *wire.Exchange) {
 		_, _ = io.ReadAll(x.Body)
 		refused.Add(1)
-		_ = x.Reply(&wire.Reply{Code: fault.Draining, Run: fault.RunNo}, nil, nil)
+		_ = x.Reply(&wire.Reply{Code: fault.Draining, Run: fault.NotExecuted}, nil, nil)
 	})
 	instance := func(id, addr string) *route.Instance {
-		return &route.Instance{ID: id, Addr: addr, Slots: 4, Weight: 1, Since: -time.Hour, Seen: &route.Observed{}}
+		return &route.Instance{ID: id, Addr: addr, Slots: 4, Weight: 1, Since: -time.Hour, Observed: &route.Observations{}}
 	}
 	for range 40 {
-		n.routes.Store(&route.Snapshot{Services: map[string]*route.Service{"f/s": {Own: []*route.Instance{instance("1", breaks), instance("2", refuses)}}}})
+		n.routes.Store(&route.Snapshot{Services: map[string]*route.Service{"f/s": {LocalInstances: []*route.Instance{instance("1", breaks), instance("2", refuses)}}}})
 		before := broke.Load()
 		r := n.call("f/s/k", "", []byte("x"), nil)
 		want := "no"
--- a/internal/node/life.go
+++ b/internal/node/life.go
@@ -64,14 +64,14 @@
 }
 
 // execution returns whether the request ran, did not run, or may have run.
-func (p *requestProgress) execution() fault.Run {
+func (p *requestProgress) execution() fault.Execution {
 	switch p.state {
 	case requestStateRefused:
-		return fault.RunNo
+		return fault.NotExecuted
 	case requestStateUnknown:
-		return fault.RunUnknown
+		return fault.ExecutionUnknown
 	default:
-		return fault.RunYes
+		return fault.Executed
 	}
 }
 
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -91,7 +91,7 @@
 			out.ServiceTime, out.Expired = time.Since(started), true
 		}
 		n.gate.release(out)
-		if ferr.Run == fault.RunNo {
+		if ferr.Run == fault.NotExecuted {
 			p.applyEvent(requestEventNotSent)
 		} else {
 			p.applyEvent(requestEventLose)
@@ -116,7 +116,7 @@
 	}
 	resp.header = appendExecutionHeader(resp.header, httpResp.Header)
 	if n.opt.HTTPAdapter != nil && httpResp.StatusCode >= http.StatusInternalServerError && w.nestedCallFailed.Load() {
-		resp.header = append(resp.header, wireField{Name: HeaderExecution, Value: fault.RunUnknown.String()})
+		resp.header = append(resp.header, wireField{Name: HeaderExecution, Value: fault.ExecutionUnknown.String()})
 	}
 	resp.close = func() {
 		if httpResp.Whole() {
@@ -131,7 +131,7 @@
 	if n.opt.HTTPAdapter != nil && c.method != http.MethodHead {
 		if err := resp.bufferSmallBody(); err != nil {
 			resp.close()
-			return nil, fault.Wrap(fault.BackendLost, err, "the response ended early").Unknown()
+			return nil, fault.Wrap(fault.BackendLost, err, "the response ended early").WithUnknownExecution()
 		}
 	}
 	return resp, nil
@@ -278,7 +278,7 @@
 // mayHaveTerminatedBackend reports whether the backend server was lost while it may have been
 // executing the request. e may be nil.
 func mayHaveTerminatedBackend(e *fault.Error) bool {
-	return e != nil && e.Code == fault.BackendLost && e.Run != fault.RunNo
+	return e != nil && e.Code == fault.BackendLost && e.Run != fault.NotExecuted
 }
 
 // kindIndexes assigns a small number to each request kind. Kinds beyond admission.MaxKinds
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -198,8 +198,8 @@
 	n.state.applyEvent(nodeChart, nodeEventConfigured)
 	n.publishMeta()
 	n.serveInBackground("data", func() error { return n.wireSrv.Serve(lns.data) })
-	arrivals := callers.Listen(lns.http)
-	n.startTask("callers", func() { n.runEvery(n.opt.Sweep.Duration, func(time.Time) { arrivals.Sweep() }) })
+	arrivals := callers.NewListener(lns.http)
+	n.startTask("callers", func() { n.runEvery(n.opt.Sweep.Duration, func(time.Time) { arrivals.CheckDisconnects() }) })
 	n.serveInBackground("http", func() error { return n.httpSrv.Serve(arrivals) })
 	n.info("node", "Serving.", "name", n.opt.Name, "failure_domain", n.opt.Domain, "http", n.opt.HTTP)
 	return nil
@@ -394,7 +394,7 @@
 	if be == nil || be.memberState != member.Serving {
 		return
 	}
-	for time.Now().Before(until) && !n.routes.Load().Has(be.service, n.id, n.clock()) {
+	for time.Now().Before(until) && !n.routes.Load().HasUsableInstance(be.service, n.id, n.clock()) {
 		time.Sleep(otherInstancePollInterval)
 	}
 }
@@ -464,7 +464,7 @@
 // recordOutcome records the latency, log line and trace of a completed request.
 // A request that callers sent to this node also counts towards the objective of
 // its kind.
-func (n *Node) recordOutcome(c *call, code fault.Code, run fault.Run) {
+func (n *Node) recordOutcome(c *call, code fault.Code, run fault.Execution) {
 	took := time.Since(c.started)
 	n.latencies.Observe(c.rank.Class().String(), code.String(), took)
 	if c.depth == 0 {
@@ -510,7 +510,7 @@
 
 // reportEjection logs that an instance was ejected from routing, once per ejection.
 func (n *Node) reportEjection(in *route.Instance, e *fault.Error) {
-	if in.Seen.JustEjected() {
+	if in.Observed.ConsumeEjection() {
 		n.logEvent("route", "Ejected "+in.ID+" at "+in.Addr+" after "+e.Code.String()+".")
 	}
 }
--- a/internal/node/once.go
+++ b/internal/node/once.go
@@ -54,8 +54,8 @@
 		if res.Verdict == claims.Running {
 			ferr.RetryAfter = retry.RetryAfter(0, rand.Float64())
 		}
-		if res.Verdict == claims.Running || res.Verdict == claims.Unknown {
-			ferr.Run = fault.RunUnknown
+		if res.Verdict == claims.Running || res.Verdict == claims.OutcomeUnknown {
+			ferr.Run = fault.ExecutionUnknown
 		}
 		n.refuse(w, c, ferr)
 	}
@@ -63,11 +63,11 @@
 
 // verdictText explains to the caller why a claim was refused.
 var verdictText = map[claims.Verdict]string{
-	claims.Running:   "another attempt with this key is in progress",
-	claims.Unknown:   "the outcome of an earlier attempt with this key is unknown; the request is not executed again",
-	claims.Mismatch:  "the key was used for another request",
-	claims.Expired:   "the key is older than the retention period",
-	claims.Malformed: "the key must be a UUID of version 7 with the current time",
+	claims.Running:        "another attempt with this key is in progress",
+	claims.OutcomeUnknown: "the outcome of an earlier attempt with this key is unknown; the request is not executed again",
+	claims.Mismatch:       "the key was used for another request",
+	claims.Expired:        "the key is older than the retention period",
+	claims.Malformed:      "the key must be a UUID of version 7 with the current time",
 }
 
 // keyedAttempt is one attempt to execute a request with an idempotency key.
@@ -91,7 +91,7 @@
 		return res, ferr
 	}
 	if err := msgpack.Unmarshal(b, &res); err != nil {
-		return res, fault.Wrap(fault.Internal, err, "malformed result of a claim").Unknown()
+		return res, fault.Wrap(fault.Internal, err, "malformed result of a claim").WithUnknownExecution()
 	}
 	return res, nil
 }
@@ -99,7 +99,7 @@
 // claimKey claims the key. If the result of the claim is unknown, the request is not executed
 // and the key is released in the background.
 func (o *keyedAttempt) claimKey() (claims.Result, *fault.Error) {
-	cmd := o.newCommand(claims.Begin)
+	cmd := o.newCommand(claims.OpBegin)
 	cmd.Fingerprint = o.fingerprint()
 	cmd.LeaseMs = (o.call.scope.Remaining() + claimGrace).Milliseconds()
 	cmd.RetainMs = o.call.policy.KeyRetention.Milliseconds()
@@ -107,7 +107,7 @@
 	if ferr == nil {
 		return res, nil
 	}
-	if ferr.Run != fault.RunNo {
+	if ferr.Run != fault.NotExecuted {
 		go o.releaseKey()
 	}
 	// The request was not sent to a backend server under this token.
@@ -128,7 +128,7 @@
 
 // releaseKey gives up the claim, so that a resend can be executed.
 func (o *keyedAttempt) releaseKey() {
-	cmd := o.newCommand(claims.Release)
+	cmd := o.newCommand(claims.OpRelease)
 	if _, ferr := o.submitCommand(&cmd, outcomeReportTimeout); ferr != nil {
 		o.node.warn("claims", "Cannot release an idempotency key.", "key", o.key, "err", ferr)
 	}
@@ -139,7 +139,7 @@
 func (o *keyedAttempt) execute(w http.ResponseWriter) {
 	resp, ferr := o.node.dispatch(o.call)
 	if ferr != nil {
-		if ferr.Run == fault.RunNo {
+		if ferr.Run == fault.NotExecuted {
 			o.releaseKey()
 		}
 		o.node.refuse(w, o.call, ferr)
@@ -148,7 +148,7 @@
 	body, err := io.ReadAll(resp.body)
 	resp.close()
 	if err != nil {
-		ferr := fault.From(err).Unknown()
+		ferr := fault.From(err).WithUnknownExecution()
 		ferr.Code = fault.OutcomeUnknown
 		o.node.refuse(w, o.call, ferr)
 		return
@@ -166,7 +166,7 @@
 	if len(body) > claims.MaxBody {
 		out.Body, out.Truncated = nil, true
 	}
-	cmd := o.newCommand(claims.Finish)
+	cmd := o.newCommand(claims.OpFinish)
 	cmd.Outcome = out
 	if _, ferr := o.submitCommand(&cmd, outcomeReportTimeout); ferr != nil {
 		o.node.warn("claims", "Cannot store the outcome of a request.", "key", o.key, "err", ferr)
@@ -176,7 +176,7 @@
 // writeStoredOutcome answers a resend from the stored outcome of an earlier execution.
 func (n *Node) writeStoredOutcome(w http.ResponseWriter, c *call, out *claims.Outcome) {
 	if out == nil {
-		n.refuse(w, c, fault.New(fault.Internal, "the stored outcome is empty").Unknown())
+		n.refuse(w, c, fault.New(fault.Internal, "the stored outcome is empty").WithUnknownExecution())
 		return
 	}
 	if out.Truncated {
@@ -190,6 +190,6 @@
 		resp.header = append(resp.header, wire.Field{Name: "Content-Type", Value: out.ContentType})
 	}
 	// No backend server executed it now, so the response must not clear its fingerprints.
-	c.fingerprints = quarantine.Marks{}
+	c.fingerprints = quarantine.Fingerprints{}
 	n.writeResponse(w, c, resp)
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -26,8 +26,8 @@
 
 // markUnreachable records that the node at an address cannot be reached. It gets no requests
 // until it answers a ping.
-func (p *peerClients) markUnreachable(addr string, seen *route.Observed) {
-	seen.CutOff(true)
+func (p *peerClients) markUnreachable(addr string, seen *route.Observations) {
+	seen.SetUnreachable(true)
 	p.unreachable.Store(addr, seen)
 }
 
@@ -41,7 +41,7 @@
 			defer wg.Done()
 			if p.client(k.(string), timeout).Probe(timeout) {
 				p.unreachable.Delete(k)
-				v.(*route.Observed).CutOff(false)
+				v.(*route.Observations).SetUnreachable(false)
 			}
 		}()
 		return true
--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -240,7 +240,7 @@
 	g.Expect(poison.reasons).To(gomega.HaveKey("quarantined"))
 	g.Expect(poison.lastProblem.Reason).To(gomega.Equal("quarantined"))
 	g.Expect(poison.lastProblem.Status).To(gomega.Equal(http.StatusServiceUnavailable))
-	g.Expect(poison.lastProblem.Execution).To(gomega.Equal(fault.RunNo.String()))
+	g.Expect(poison.lastProblem.Execution).To(gomega.Equal(fault.NotExecuted.String()))
 	g.Expect(poison.lastProblem.RetryAfterMs).To(gomega.BeNumerically(">", 0))
 }
 
@@ -385,9 +385,9 @@
 	n := startNode(t, "domain-0", nil, nil)
 	q := n.quarantine
 	const fingerprint = 1 << 50
-	c := &call{fingerprints: quarantine.Marks{Content: fingerprint}, policy: &settings.Policy{Quarantine: true}}
+	c := &call{fingerprints: quarantine.Fingerprints{Content: fingerprint}, policy: &settings.Policy{Quarantine: true}}
 	suspect := func(round uint32) {
-		for i := range uint32(quarantine.Ends) {
+		for i := range uint32(quarantine.TerminationThreshold) {
 			q.applyDomainTermination("other", &member.Termination{Start: 10*round + i, AtMs: time.Now().UnixMilli(), Service: "f/s", Marks: []uint64{fingerprint}})
 		}
 	}
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -64,7 +64,7 @@
 type quarantineManager struct {
 	n         *Node
 	view      atomic.Pointer[quarantine.View]
-	responses quarantine.Answers
+	responses quarantine.RecentAnswers
 
 	mu    sync.Mutex
 	table *quarantine.Table
@@ -87,14 +87,14 @@
 	domainTerminationTimes []time.Duration
 	// fingerprintDescriptions describes a request for each fingerprint that this node
 	// reported.
-	fingerprintDescriptions map[quarantine.Mark]string
+	fingerprintDescriptions map[quarantine.Fingerprint]string
 	// viewBuiltAt is when the view was last built.
 	viewBuiltAt time.Duration
 }
 
 // newQuarantineManager returns a quarantineManager without suspected requests.
 func newQuarantineManager(n *Node) *quarantineManager {
-	q := &quarantineManager{n: n, table: quarantine.New(newRand()), fingerprintDescriptions: map[quarantine.Mark]string{}}
+	q := &quarantineManager{n: n, table: quarantine.New(newRand()), fingerprintDescriptions: map[quarantine.Fingerprint]string{}}
 	q.view.Store(q.table.View(0))
 	return q
 }
@@ -116,10 +116,10 @@
 	_, _ = d.Write(c.bodyPrefix)
 	_, _ = d.Write(c.body)
 	_, _ = d.WriteString(strconv.FormatInt(c.bodyLen, 10))
-	c.fingerprints.Content = quarantine.Mark(d.Sum64())
+	c.fingerprints.Content = quarantine.Fingerprint(d.Sum64())
 	if c.caller != "" {
 		_, _ = d.WriteString(c.caller)
-		c.fingerprints.Caller = quarantine.Mark(d.Sum64())
+		c.fingerprints.Caller = quarantine.Fingerprint(d.Sum64())
 	}
 }
 
@@ -129,33 +129,35 @@
 	if v.Empty() || !c.policy.Quarantine || c.policy.Mode != admission.ModeFull {
 		return nil
 	}
-	left := v.Left(q.n.clock(), c.fingerprints)
+	left := v.Remaining(q.n.clock(), c.fingerprints)
 	if left == 0 {
 		return nil
 	}
-	return fault.Newf(fault.Quarantined, "%d backend servers terminated while executing similar requests", v.Ends(c.fingerprints)).After(left)
+	return fault.Newf(fault.Quarantined, "%d backend servers terminated while executing similar requests", v.Terminations(c.fingerprints)).WithRetryAfter(left)
 }
 
 // terminationCount returns how many backend servers terminated while executing similar
 // requests, 0 for fewer than two.
-func (q *quarantineManager) terminationCount(c *call) int { return q.view.Load().Ends(c.fingerprints) }
+func (q *quarantineManager) terminationCount(c *call) int {
+	return q.view.Load().Terminations(c.fingerprints)
+}
 
 // recordResponse records that a backend server answered the call completely, which clears its
 // fingerprints.
 func (q *quarantineManager) recordResponse(c *call) {
 	q.responses.Note(q.n.clock(), c.fingerprints)
-	if v := q.view.Load(); !v.Empty() && v.Knows(c.fingerprints) {
+	if v := q.view.Load(); !v.Empty() && v.IsSuspect(c.fingerprints) {
 		q.clearFingerprints(c.fingerprints)
 	}
 }
 
 // clearFingerprints clears the suspected ones of the fingerprints and schedules their reports
 // to other nodes.
-func (q *quarantineManager) clearFingerprints(fingerprints quarantine.Marks) {
+func (q *quarantineManager) clearFingerprints(fingerprints quarantine.Fingerprints) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, fingerprint := range []quarantine.Mark{fingerprints.Content, fingerprints.Caller} {
-		if q.table.Ends(fingerprint) > 0 {
+	for _, fingerprint := range []quarantine.Fingerprint{fingerprints.Content, fingerprints.Caller} {
+		if q.table.Terminations(fingerprint) > 0 {
 			q.clearFingerprint(fingerprint)
 			q.scheduleClearance(fingerprint)
 		}
@@ -164,8 +166,8 @@
 }
 
 // clearFingerprint removes the suspicion of a fingerprint. The lock is held.
-func (q *quarantineManager) clearFingerprint(fingerprint quarantine.Mark) {
-	if q.table.Answered(fingerprint) {
+func (q *quarantineManager) clearFingerprint(fingerprint quarantine.Fingerprint) {
+	if q.table.RecordAnswer(fingerprint) {
 		q.n.logEvent("quarantine", "Requests like "+q.fingerprintLabel(fingerprint)+" are no longer quarantined: one was answered.")
 	}
 }
--- a/internal/node/quarantine_ends.go
+++ b/internal/node/quarantine_ends.go
@@ -15,7 +15,7 @@
 // brokenAt is when its connection broke, on the node's clock, 0 if it has not.
 type inFlightRequest struct {
 	incarnation  uint32
-	fingerprints quarantine.Marks
+	fingerprints quarantine.Fingerprints
 	startedAt    time.Time
 	brokenAt     time.Duration
 	target       string
@@ -117,7 +117,7 @@
 	})
 	v := q.view.Load()
 	slices.SortFunc(out, func(a, b inFlightRequest) int {
-		return cmp.Or(cmp.Compare(v.Ends(b.fingerprints), v.Ends(a.fingerprints)), b.startedAt.Compare(a.startedAt))
+		return cmp.Or(cmp.Compare(v.Terminations(b.fingerprints), v.Terminations(a.fingerprints)), b.startedAt.Compare(a.startedAt))
 	})
 	return out
 }
@@ -130,8 +130,8 @@
 	seen := longInFlightFingerprints(requests)
 	seen[0] = true
 	for _, w := range requests[:min(len(requests), maxTerminationRequests)] {
-		for _, fingerprint := range []quarantine.Mark{w.fingerprints.Content, w.fingerprints.Caller} {
-			if seen[fingerprint] || q.responses.Lately(now, fingerprint) {
+		for _, fingerprint := range []quarantine.Fingerprint{w.fingerprints.Content, w.fingerprints.Caller} {
+			if seen[fingerprint] || q.responses.AnsweredRecently(now, fingerprint) {
 				continue
 			}
 			seen[fingerprint] = true
@@ -144,11 +144,11 @@
 
 // longInFlightFingerprints returns the fingerprints of similar requests that were started over
 // a longer span and all still running: a request that terminates its server does so earlier.
-func longInFlightFingerprints(requests []inFlightRequest) map[quarantine.Mark]bool {
-	oldest, newest := map[quarantine.Mark]time.Time{}, map[quarantine.Mark]time.Time{}
-	count := map[quarantine.Mark]int{}
+func longInFlightFingerprints(requests []inFlightRequest) map[quarantine.Fingerprint]bool {
+	oldest, newest := map[quarantine.Fingerprint]time.Time{}, map[quarantine.Fingerprint]time.Time{}
+	count := map[quarantine.Fingerprint]int{}
 	for _, w := range requests {
-		for _, fingerprint := range []quarantine.Mark{w.fingerprints.Content, w.fingerprints.Caller} {
+		for _, fingerprint := range []quarantine.Fingerprint{w.fingerprints.Content, w.fingerprints.Caller} {
 			if count[fingerprint] == 0 || w.startedAt.Before(oldest[fingerprint]) {
 				oldest[fingerprint] = w.startedAt
 			}
@@ -158,7 +158,7 @@
 			count[fingerprint]++
 		}
 	}
-	harmless := map[quarantine.Mark]bool{}
+	harmless := map[quarantine.Fingerprint]bool{}
 	for fingerprint, running := range count {
 		if running >= harmlessRequestCount && newest[fingerprint].Sub(oldest[fingerprint]) > harmlessRequestSpan {
 			harmless[fingerprint] = true
@@ -169,7 +169,7 @@
 
 // describeFingerprint keeps a request's target and path to describe a fingerprint. The lock is
 // held.
-func (q *quarantineManager) describeFingerprint(fingerprint quarantine.Mark, w inFlightRequest) {
+func (q *quarantineManager) describeFingerprint(fingerprint quarantine.Fingerprint, w inFlightRequest) {
 	if len(q.fingerprintDescriptions) >= maxDescribedFingerprints {
 		clear(q.fingerprintDescriptions)
 	}
@@ -178,7 +178,7 @@
 
 // fingerprintLabel returns a fingerprint in hexadecimal, with a request's description if this
 // node has one. The lock is held.
-func (q *quarantineManager) fingerprintLabel(fingerprint quarantine.Mark) string {
+func (q *quarantineManager) fingerprintLabel(fingerprint quarantine.Fingerprint) string {
 	text := strconv.FormatUint(uint64(fingerprint), 16)
 	if d := q.fingerprintDescriptions[fingerprint]; d != "" {
 		text += " (" + d + ")"
--- a/internal/node/quarantine_news.go
+++ b/internal/node/quarantine_news.go
@@ -34,8 +34,8 @@
 	if !q.recordClearance(a) {
 		return false
 	}
-	fingerprint := quarantine.Mark(a.Mark)
-	q.responses.Note(q.n.clock(), quarantine.Marks{Content: fingerprint})
+	fingerprint := quarantine.Fingerprint(a.Mark)
+	q.responses.Note(q.n.clock(), quarantine.Fingerprints{Content: fingerprint})
 	q.clearFingerprint(fingerprint)
 	q.rebuildView()
 	return true
@@ -74,16 +74,16 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.n.clock()
-	end := quarantine.End{Start: id + "/" + strconv.FormatUint(uint64(e.Start), 10), Service: e.Service}
+	end := quarantine.Termination{Incarnation: id + "/" + strconv.FormatUint(uint64(e.Start), 10), Service: e.Service}
 	for _, fingerprint := range e.Marks {
-		end.Marks = append(end.Marks, quarantine.Mark(fingerprint))
+		end.Fingerprints = append(end.Fingerprints, quarantine.Fingerprint(fingerprint))
 	}
-	quarantined, isNew := q.table.Ended(now, end)
+	quarantined, isNew := q.table.RecordTermination(now, end)
 	if !isNew {
 		return false
 	}
-	for _, fingerprint := range end.Marks {
-		if q.table.Ends(fingerprint) > 0 && q.responses.Lately(now, fingerprint) {
+	for _, fingerprint := range end.Fingerprints {
+		if q.table.Terminations(fingerprint) > 0 && q.responses.AnsweredRecently(now, fingerprint) {
 			q.clearFingerprint(fingerprint)
 			q.scheduleClearance(fingerprint)
 		}
@@ -94,8 +94,8 @@
 }
 
 // reportQuarantines logs the fingerprints that become quarantined. The lock is held.
-func (q *quarantineManager) reportQuarantines(held []quarantine.Held) {
-	held = slices.DeleteFunc(held, func(h quarantine.Held) bool { return q.table.Ends(h.Mark) == 0 })
+func (q *quarantineManager) reportQuarantines(held []quarantine.QuarantinedRequest) {
+	held = slices.DeleteFunc(held, func(h quarantine.QuarantinedRequest) bool { return q.table.Terminations(h.Mark) == 0 })
 	if len(held) == 0 {
 		return
 	}
@@ -133,7 +133,7 @@
 }
 
 // activeQuarantines returns the fingerprints that this node refuses.
-func (q *quarantineManager) activeQuarantines() []quarantine.Held {
+func (q *quarantineManager) activeQuarantines() []quarantine.QuarantinedRequest {
 	if q.view.Load().Empty() {
 		return nil
 	}
@@ -143,7 +143,7 @@
 }
 
 // adoptQuarantines takes over the active quarantines of another node.
-func (q *quarantineManager) adoptQuarantines(held []quarantine.Held) {
+func (q *quarantineManager) adoptQuarantines(held []quarantine.QuarantinedRequest) {
 	if len(held) == 0 {
 		return
 	}
@@ -156,7 +156,7 @@
 // scheduleClearance reports a clearance to other nodes after a random delay, unless another
 // node has reported it by then, as many nodes may see responses to similar requests. The lock
 // is held.
-func (q *quarantineManager) scheduleClearance(fingerprint quarantine.Mark) {
+func (q *quarantineManager) scheduleClearance(fingerprint quarantine.Fingerprint) {
 	time.AfterFunc(q.randomDelay(clearanceSpreadPerMember), func() {
 		if !q.publishClearance(member.AnsweredRequest{Mark: uint64(fingerprint), AtMs: time.Now().UnixMilli()}) {
 			return
--- a/internal/node/refusal.go
+++ b/internal/node/refusal.go
@@ -31,7 +31,7 @@
 
 // writeProblem writes a refusal with its status, header fields and Problem body.
 func writeProblem(w http.ResponseWriter, id string, e *fault.Error) {
-	status := e.Code.Status()
+	status := e.Code.HTTPStatus()
 	p := Problem{
 		Type: problemTypePrefix + e.Code.String(), Title: http.StatusText(status), Status: status,
 		Detail: e.Error(), Reason: e.Code.String(), Execution: e.Run.String(),
--- a/internal/node/reqlog.go
+++ b/internal/node/reqlog.go
@@ -63,7 +63,7 @@
 
 // logRequest logs a completed request with its outcome and the state that decided it, within
 // the line limits.
-func (n *Node) logRequest(c *call, code fault.Code, run fault.Run, took time.Duration, sampled bool) {
+func (n *Node) logRequest(c *call, code fault.Code, run fault.Execution, took time.Duration, sampled bool) {
 	late := took > c.latencyObjective()
 	notable := code != fault.None || c.attempts > 1 || late || c.failedAttempts.Len() > 0
 	limiter, limit := &n.requestLog.routine, int64(routineLinesPerSecond)
--- a/internal/node/restart_test.go
+++ b/internal/node/restart_test.go
@@ -143,7 +143,7 @@
 	addr := unresponsiveServerNotifying(t, heard)
 	g.Expect(n.Announce(newAnnouncement(addr, 1000, 1))).To(gomega.BeNil())
 	n.awaitInstances("f/s", 1)
-	seen := n.routes.Load().Services["f/s"].Own[0].Seen
+	seen := n.routes.Load().Services["f/s"].LocalInstances[0].Observed
 	done := make(chan httpResult, 1)
 	go func() { done <- n.call("f/s/k", "lost", nil, nil) }()
 	g.Eventually(heard, 5*time.Second).Should(gomega.Receive())
@@ -152,10 +152,10 @@
 	var r httpResult
 	g.Eventually(done, 3*time.Second).Should(gomega.Receive(&r))
 	g.Expect(r.problem().Reason).To(gomega.Equal(fault.BackendLost.String()))
-	g.Expect(r.problem().Execution).To(gomega.Equal(fault.RunUnknown.String()), "the request may have run")
+	g.Expect(r.problem().Execution).To(gomega.Equal(fault.ExecutionUnknown.String()), "the request may have run")
 	g.Expect(n.gate.load().inflight).To(gomega.BeZero())
 	g.Eventually(func() bool {
 		svc := n.routes.Load().Services["f/s"]
-		return svc != nil && svc.Own[0].Seen != seen && svc.Own[0].Seen.InFlight() == 0
+		return svc != nil && svc.LocalInstances[0].Observed != seen && svc.LocalInstances[0].Observed.InFlight() == 0
 	}, 5*time.Second, time.Millisecond).Should(gomega.BeTrue(), "observations of the earlier incarnation are dropped")
 }
--- a/internal/node/return_test.go
+++ b/internal/node/return_test.go
@@ -96,7 +96,7 @@
 	startStandin(t, n, "f/s", 4, map[string]standin.Kind{"k": {Time: time.Millisecond, Answer: 64}})
 	n.awaitInstances("f/s", 1)
 	c := &call{service: "f/s", depth: 1, lastFailure: fault.Overload, scope: scope.New(time.Now().Add(time.Minute))}
-	q := &route.Query{Service: "f/s", Now: n.clock(), Avoid: n.routes.Load().Services["f/s"].Own[0]}
+	q := &route.Query{Service: "f/s", Now: n.clock(), Avoid: n.routes.Load().Services["f/s"].LocalInstances[0]}
 	began := time.Now()
 	_, code := n.pickInstance(c, q)
 	g.Expect(code).To(gomega.Equal(fault.NoBackend))
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -40,7 +40,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for elapsed() < wait {
-		addr, nextAt := search.Next(elapsed(), n.replicaAddrs())
+		addr, nextAt := search.NextReplica(elapsed(), n.replicaAddrs())
 		if addr != "" {
 			unanswered++
 			go func() {
@@ -65,10 +65,10 @@
 }
 
 // recordAnswer passes a replica's answer to the search.
-func recordAnswer(s *seek.Search, now time.Duration, a replicaAnswer) {
+func recordAnswer(s *seek.LeaderSearch, now time.Duration, a replicaAnswer) {
 	switch {
 	case a.err != nil:
-		s.Silent(now, a.addr)
+		s.RecordNoResponse(now, a.addr)
 	case a.code == fault.NotLeader:
 		s.NotLeader(now, a.addr, a.leader)
 	default:
@@ -90,7 +90,7 @@
 	found := false
 	unanswered := n.askLeader(id, wait, ask, func(a replicaAnswer) bool {
 		if a.err != nil {
-			uncertain = uncertain || fault.From(a.err).Run != fault.RunNo
+			uncertain = uncertain || fault.From(a.err).Run != fault.NotExecuted
 			return false
 		}
 		reply := a.reply.(*control.SubmitReply)
@@ -101,7 +101,7 @@
 			return false
 		case fault.NoQuorum, fault.Overload:
 			// Not final: an earlier request may still be accepted.
-			uncertain = uncertain || reply.Run != fault.RunNo
+			uncertain = uncertain || reply.Run != fault.NotExecuted
 			return false
 		default:
 			refused = fault.New(reply.Code, reply.Detail)
@@ -114,7 +114,7 @@
 	case refused != nil:
 		return nil, refused
 	case uncertain || unanswered > 0:
-		return nil, fault.New(fault.NoQuorum, "no quorum confirmed in time").Unknown()
+		return nil, fault.New(fault.NoQuorum, "no quorum confirmed in time").WithUnknownExecution()
 	default:
 		return nil, fault.New(fault.NoQuorum, "no replica can be reached")
 	}
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -50,7 +50,7 @@
 	incarnation uint32
 	// since is when the incarnation was first seen, on this node's clock.
 	since    time.Duration
-	observed *route.Observed
+	observed *route.Observations
 }
 
 func newViewBuilder(n *Node) *viewBuilder {
@@ -139,7 +139,7 @@
 	b.node.view.Store(v)
 	b.node.gossip.updateDiscovery(v)
 	next := b.routingTable()
-	next.Follow(b.node.routes.Load(), b.node.clock())
+	next.InheritUnavailable(b.node.routes.Load(), b.node.clock())
 	b.node.routes.Store(next)
 }
 
@@ -184,20 +184,20 @@
 		used[id] = true
 		addrs[addr] = true
 		k := b.stateOf(id, start)
-		in := &route.Instance{ID: id, Addr: addr, Domain: domain, Slots: slots, Weight: weight, Since: k.since, Seen: k.observed}
-		in.Seen.Announced(false)
+		in := &route.Instance{ID: id, Addr: addr, Domain: domain, Slots: slots, Weight: weight, Since: k.since, Observed: k.observed}
+		in.Observed.SetDraining(false)
 		return in
 	}
 	if be := b.node.local.Load(); be != nil && be.memberState == member.Serving && !b.node.rejectsNewWork() {
 		svc := serviceEntry(s, be.service)
-		svc.Own = append(svc.Own, add(b.node.id, b.node.opt.AdvertiseData, b.node.opt.Domain, be.slots, be.weight, be.incarnation))
+		svc.LocalInstances = append(svc.LocalInstances, add(b.node.id, b.node.opt.AdvertiseData, b.node.opt.Domain, be.slots, be.weight, be.incarnation))
 	}
 	for _, m := range b.members {
 		if m.meta.State != member.Serving || !m.alive() {
 			continue
 		}
 		svc := serviceEntry(s, m.meta.Service)
-		svc.Own = append(svc.Own, add(m.ID, m.meta.Data, b.node.opt.Domain, m.meta.Slots, m.meta.Weight, m.meta.Start))
+		svc.LocalInstances = append(svc.LocalInstances, add(m.ID, m.meta.Data, b.node.opt.Domain, m.meta.Slots, m.meta.Weight, m.meta.Start))
 	}
 	for _, sum := range b.summaries {
 		if sum.Service == member.ReplicaService || !b.reachable(sum.Domain) || len(sum.Instances) == 0 {
@@ -208,7 +208,7 @@
 			ins = append(ins, add(r.ID, r.Addr, sum.Domain, r.Slots, r.Weight, r.Start))
 		}
 		svc := serviceEntry(s, sum.Service)
-		svc.Others = append(svc.Others, ins)
+		svc.RemoteDomains = append(svc.RemoteDomains, ins)
 	}
 	b.pruneInstances(used)
 	b.node.peers.closeExcept(addrs)
@@ -244,7 +244,7 @@
 	if k == nil && since < newInstanceAge {
 		since = establishedSince
 	}
-	k = &instanceState{incarnation: incarnation, since: since, observed: &route.Observed{}}
+	k = &instanceState{incarnation: incarnation, since: since, observed: &route.Observations{}}
 	b.instances[id] = k
 	return k
 }
--- a/internal/pathlevel/pathlevel.go
+++ b/internal/pathlevel/pathlevel.go
@@ -75,7 +75,7 @@
 	}
 	var highest rank.Level
 	for _, e := range *levels {
-		l := route.Fade(rank.Level(e.level.Load()), now-time.Duration(e.updatedAt.Load()))
+		l := route.DecayLevel(rank.Level(e.level.Load()), now-time.Duration(e.updatedAt.Load()))
 		highest = max(highest, l)
 	}
 	return highest
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -34,7 +34,7 @@
 type Failure struct {
 	Code fault.Code
 	// Execution tells whether the call may have been executed.
-	Execution fault.Run
+	Execution fault.Execution
 	// InstanceChosen tells whether an instance was chosen for the attempt.
 	InstanceChosen bool
 }
@@ -61,11 +61,11 @@
 	switch {
 	case !c.Replayable:
 		return GiveUp
-	case f.Code != fault.None && f.Execution != fault.RunNo && !c.Idempotent:
+	case f.Code != fault.None && f.Execution != fault.NotExecuted && !c.Idempotent:
 		return GiveUp
 	case f.Code != fault.None && !otherInstanceMayHelp(c, f):
 		return GiveUp
-	case f.Code == fault.BackendLost && f.Execution != fault.RunNo && c.Terminations > maxTerminations:
+	case f.Code == fault.BackendLost && f.Execution != fault.NotExecuted && c.Terminations > maxTerminations:
 		return GiveUp
 	case neverReachedServer(f) && c.Uncharged < maxUncharged:
 		return RetryUncharged
@@ -99,7 +99,7 @@
 // neverReachedServer reports whether a failed attempt certainly reached no backend
 // server, so that a retry adds no load to any.
 func neverReachedServer(f Failure) bool {
-	if f.Code == fault.None || f.Execution != fault.RunNo {
+	if f.Code == fault.None || f.Execution != fault.NotExecuted {
 		return false
 	}
 	switch f.Code {
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -25,17 +25,17 @@
 	}{
 		"streamed body":                       {retry.Call{Attempts: 1}, retry.Failure{Code: fault.Rejected, InstanceChosen: true}, retry.GiveUp},
 		"rejected by the backend server":      {replayable, retry.Failure{Code: fault.Rejected, InstanceChosen: true}, retry.RetryCharged},
-		"maybe executed, not idempotent":      {replayable, retry.Failure{Code: fault.PeerLost, Execution: fault.RunUnknown, InstanceChosen: true}, retry.GiveUp},
-		"maybe executed, idempotent":          {idempotent, retry.Failure{Code: fault.PeerLost, Execution: fault.RunUnknown, InstanceChosen: true}, retry.RetryCharged},
+		"maybe executed, not idempotent":      {replayable, retry.Failure{Code: fault.PeerLost, Execution: fault.ExecutionUnknown, InstanceChosen: true}, retry.GiveUp},
+		"maybe executed, idempotent":          {idempotent, retry.Failure{Code: fault.PeerLost, Execution: fault.ExecutionUnknown, InstanceChosen: true}, retry.RetryCharged},
 		"draining instance":                   {replayable, retry.Failure{Code: fault.Draining, InstanceChosen: true}, retry.RetryUncharged},
 		"fourth draining instance":            {with(func(c *retry.Call) { c.Uncharged = 3 }), retry.Failure{Code: fault.Draining, InstanceChosen: true}, retry.RetryCharged},
 		"overloaded instance":                 {replayable, retry.Failure{Code: fault.Overload, InstanceChosen: true}, retry.RetryCharged},
 		"second overloaded instance":          {with(func(c *retry.Call) { c.Attempts = 2 }), retry.Failure{Code: fault.Overload, InstanceChosen: true}, retry.GiveUp},
 		"no instance chosen":                  {replayable, retry.Failure{Code: fault.Overload}, retry.GiveUp},
-		"deadline exceeded":                   {idempotent, retry.Failure{Code: fault.Deadline, Execution: fault.RunUnknown, InstanceChosen: true}, retry.GiveUp},
+		"deadline exceeded":                   {idempotent, retry.Failure{Code: fault.Deadline, Execution: fault.ExecutionUnknown, InstanceChosen: true}, retry.GiveUp},
 		"maximum offers, rejected":            {with(func(c *retry.Call) { c.Offered, c.MaxOffered = 2, 2 }), retry.Failure{Code: fault.Rejected, InstanceChosen: true}, retry.RetryCharged},
-		"maximum offers, backend server lost": {with(func(c *retry.Call) { c.Offered, c.MaxOffered, c.Idempotent = 2, 2, true }), retry.Failure{Code: fault.BackendLost, Execution: fault.RunUnknown, InstanceChosen: true}, retry.GiveUp},
-		"failure reported in the answer":      {idempotent, retry.Failure{Execution: fault.RunYes, InstanceChosen: true}, retry.RetryCharged},
+		"maximum offers, backend server lost": {with(func(c *retry.Call) { c.Offered, c.MaxOffered, c.Idempotent = 2, 2, true }), retry.Failure{Code: fault.BackendLost, Execution: fault.ExecutionUnknown, InstanceChosen: true}, retry.GiveUp},
+		"failure reported in the answer":      {idempotent, retry.Failure{Execution: fault.Executed, InstanceChosen: true}, retry.RetryCharged},
 	} {
 		t.Run(name, func(t *testing.T) {
 			NewWithT(t).Expect(retry.Decide(x.call, x.f)).To(Equal(x.want))
@@ -53,7 +53,7 @@
 		}
 		f := retry.Failure{
 			Code: fault.Code(rapid.IntRange(1, int(fault.Rejected)).Draw(t, "code")), InstanceChosen: rapid.Bool().Draw(t, "chosen"),
-			Execution: rapid.SampledFrom([]fault.Run{fault.RunUnknown, fault.RunYes}).Draw(t, "run"),
+			Execution: rapid.SampledFrom([]fault.Execution{fault.ExecutionUnknown, fault.Executed}).Draw(t, "run"),
 		}
 		if retry.Decide(c, f) != retry.GiveUp {
 			t.Fatalf("call %+v is retried after %+v", c, f)
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -13,18 +13,18 @@
 	"github.com/umberthread/umberthread/rank"
 )
 
-const longAgo = -time.Hour
+const servingSinceLongAgo = -time.Hour
 
 func instances(domain string, n int) []*Instance {
 	var out []*Instance
 	for i := range n {
-		out = append(out, &Instance{ID: fmt.Sprintf("%s%d", domain, i), Domain: domain, Slots: 10, Weight: 1, Since: longAgo, Seen: &Observed{}})
+		out = append(out, &Instance{ID: fmt.Sprintf("%s%d", domain, i), Domain: domain, Slots: 10, Weight: 1, Since: servingSinceLongAgo, Observed: &Observations{}})
 	}
 	return out
 }
 
 func snapshot(own []*Instance, others ...[]*Instance) *Snapshot {
-	return &Snapshot{Services: map[string]*Service{"s": {Own: own, Others: others}}}
+	return &Snapshot{Services: map[string]*Service{"s": {LocalInstances: own, RemoteDomains: others}}}
 }
 
 func query(now time.Duration) *Query {
@@ -33,7 +33,7 @@
 
 func rng() *rand.Rand { return rand.New(rand.NewPCG(7, 7)) }
 
-func TestOwnDomainFirst(t *testing.T) {
+func TestLocalDomainIsPreferred(t *testing.T) {
 	g := gomega.NewWithT(t)
 	own, other := instances("a", 3), instances("b", 3)
 	s := snapshot(own, other)
@@ -45,15 +45,15 @@
 	}
 }
 
-// TestSpillsBySpareCapacityNotByACliff loads the own domain step by step.
-func TestSpillsBySpareCapacityNotByACliff(t *testing.T) {
+// The share of spilled requests must grow step by step with the load of the own domain.
+func TestSpilloverGrowsWithUtilisation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	last := -1
 	for busy := 7; busy <= 10; busy++ {
 		own, other := instances("a", 3), instances("b", 3)
 		for _, in := range own {
-			in.Seen.Begin()
-			in.Seen.End(0, Report{HasLoad: true, InFlight: uint16(busy), Limit: 10}, EjectOptions{Failures: 5})
+			in.Observed.Begin()
+			in.Observed.End(0, Outcome{HasLoad: true, InFlight: uint16(busy), Limit: 10}, EjectOptions{Failures: 5})
 		}
 		s, r, spilled := snapshot(own, other), rng(), 0
 		for range 1000 {
@@ -67,15 +67,14 @@
 	g.Expect(last).To(gomega.Equal(1000))
 }
 
-// TestAllDomainsAreTried: the only instance that takes a request stands in one
-// of several other domains.
+// The only instance that admits requests is in one of several remote domains.
 func TestAllDomainsAreTried(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var others [][]*Instance
 	for _, d := range []string{"b", "c", "d", "e"} {
 		ins := instances(d, 2)
 		for _, in := range ins {
-			in.Seen.Announced(d != "d")
+			in.Observed.SetDraining(d != "d")
 		}
 		others = append(others, ins)
 	}
@@ -87,15 +86,15 @@
 	}
 }
 
-func TestEjectedIsProbedByOneRequestAndComesBack(t *testing.T) {
+func TestEjectedInstanceIsProbedAndReadmitted(t *testing.T) {
 	g := gomega.NewWithT(t)
 	own := instances("a", 4)
 	s, r := snapshot(own), rng()
 	bad := own[0]
 	e := EjectOptions{Failures: 3, Time: time.Second}
 	for range 3 {
-		bad.Seen.Begin()
-		bad.Seen.End(0, Report{Failed: true}, e)
+		bad.Observed.Begin()
+		bad.Observed.End(0, Outcome{Failed: true}, e)
 	}
 	picks := func(now time.Duration) int {
 		n := 0
@@ -108,18 +107,18 @@
 	}
 	g.Expect(picks(500 * time.Millisecond)).To(gomega.BeZero())
 	g.Expect(picks(1100 * time.Millisecond)).To(gomega.BeNumerically(">", 0))
-	bad.Seen.Begin()
+	bad.Observed.Begin()
 	g.Expect(picks(1100 * time.Millisecond)).To(gomega.BeZero())
-	bad.Seen.End(1100*time.Millisecond, Report{HasLoad: true, Limit: 10, Took: time.Millisecond}, e)
+	bad.Observed.End(1100*time.Millisecond, Outcome{HasLoad: true, Limit: 10, Took: time.Millisecond}, e)
 	g.Expect(picks(1200 * time.Millisecond)).To(gomega.BeNumerically(">", 50))
 }
 
-func TestNotAllAreEjected(t *testing.T) {
+func TestEjectedInstancesAreUsedIfTooManyAreEjected(t *testing.T) {
 	g := gomega.NewWithT(t)
 	own := instances("a", 4)
 	for _, in := range own {
-		in.Seen.Begin()
-		in.Seen.End(0, Report{Failed: true}, EjectOptions{Failures: 1, Time: time.Hour})
+		in.Observed.Begin()
+		in.Observed.End(0, Outcome{Failed: true}, EjectOptions{Failures: 1, Time: time.Hour})
 	}
 	_, code := snapshot(own).Pick(query(0), rng())
 	g.Expect(code).To(gomega.Equal(fault.None))
@@ -130,8 +129,8 @@
 	own := instances("a", 2)
 	own[1].Since = 0
 	for _, in := range own {
-		in.Seen.Begin()
-		in.Seen.End(0, Report{HasLoad: true, InFlight: 1, Limit: 10, Took: time.Millisecond}, EjectOptions{Failures: 5})
+		in.Observed.Begin()
+		in.Observed.End(0, Outcome{HasLoad: true, InFlight: 1, Limit: 10, Took: time.Millisecond}, EjectOptions{Failures: 5})
 	}
 	s, r := snapshot(own), rng()
 	share := func(now time.Duration) int {
@@ -150,16 +149,16 @@
 	g.Expect(share(3 * time.Second)).To(gomega.BeNumerically(">", young))
 }
 
-// TestPickKeepsItsPromises checks random tables: nothing goes to an instance
-// that drains, that is avoided, or whose level sheds the request.
+// Over random tables, no request goes to an instance that is draining, avoided, or sheds
+// its rank.
 func TestPickKeepsItsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		own := instances("a", rapid.IntRange(0, 4).Draw(t, "own"))
 		other := instances("b", rapid.IntRange(1, 4).Draw(t, "other"))
 		for _, in := range append(append([]*Instance(nil), own...), other...) {
-			in.Seen.Announced(rapid.Bool().Draw(t, "draining"))
-			in.Seen.Begin()
-			in.Seen.End(0, Report{
+			in.Observed.SetDraining(rapid.Bool().Draw(t, "draining"))
+			in.Observed.Begin()
+			in.Observed.End(0, Outcome{
 				Failed: rapid.Bool().Draw(t, "failed"), HasLoad: true, Limit: 10,
 				InFlight: uint16(rapid.IntRange(0, 12).Draw(t, "load")), Level: rank.Level(rapid.IntRange(0, rank.Count).Draw(t, "level")),
 			}, EjectOptions{Failures: 1, Time: time.Second})
@@ -170,7 +169,7 @@
 		if code != fault.None {
 			return
 		}
-		if in == q.Avoid || in.Seen.draining.Load() || !in.Seen.Level(q.Now).Admits(q.Rank, 0) {
+		if in == q.Avoid || in.Observed.draining.Load() || !in.Observed.Level(q.Now).Admits(q.Rank, 0) {
 			t.Fatalf("picked %s", in.ID)
 		}
 	})
@@ -185,44 +184,44 @@
 	}
 }
 
-func TestSnapshotTellsWhichServicesMayReturn(t *testing.T) {
+func TestServiceMayReturnAfterLosingItsInstances(t *testing.T) {
 	g := gomega.NewWithT(t)
 	with, without := snapshot(instances("a", 1)), &Snapshot{}
-	without.Follow(with, 5*time.Second)
+	without.InheritUnavailable(with, 5*time.Second)
 	g.Expect(without.MayReturn("s", 5500*time.Millisecond, time.Second)).To(gomega.BeTrue())
 	later := &Snapshot{}
-	later.Follow(without, 5900*time.Millisecond)
-	g.Expect(later.MayReturn("s", 6*time.Second, time.Second)).To(gomega.BeFalse(), "it was lost a second ago")
-	g.Expect(later.MayReturn("other", 6*time.Second, time.Second)).To(gomega.BeFalse(), "it was never there")
-	with.Follow(later, 7*time.Second)
-	g.Expect(with.Gone).To(gomega.BeEmpty())
+	later.InheritUnavailable(without, 5900*time.Millisecond)
+	g.Expect(later.MayReturn("s", 6*time.Second, time.Second)).To(gomega.BeFalse(), "lost more than a second ago")
+	g.Expect(later.MayReturn("other", 6*time.Second, time.Second)).To(gomega.BeFalse(), "unknown service")
+	with.InheritUnavailable(later, 7*time.Second)
+	g.Expect(with.UnavailableSince).To(gomega.BeEmpty())
 }
 
-func TestSnapshotHasAnInstanceThatTakesRequests(t *testing.T) {
+func TestHasUsableInstance(t *testing.T) {
 	g := gomega.NewWithT(t)
 	own, other := instances("a", 1), instances("b", 1)
 	s := snapshot(own, other)
-	g.Expect(s.Has("s", own[0].ID, 0)).To(gomega.BeTrue())
-	other[0].Seen.CutOff(true)
-	g.Expect(s.Has("s", own[0].ID, 0)).To(gomega.BeFalse())
-	g.Expect(s.Has("t", "", 0)).To(gomega.BeFalse())
+	g.Expect(s.HasUsableInstance("s", own[0].ID, 0)).To(gomega.BeTrue())
+	other[0].Observed.SetUnreachable(true)
+	g.Expect(s.HasUsableInstance("s", own[0].ID, 0)).To(gomega.BeFalse())
+	g.Expect(s.HasUsableInstance("t", "", 0)).To(gomega.BeFalse())
 }
 
-// TestOnlyAllowedInstancesAreChosen: a request that may go to no more backend
-// servers goes to one of those that it has been to, of an earlier snapshot.
+// A request limited to the instances it was sent to before must go to one of them, also
+// if they come from an earlier snapshot.
 func TestOnlyAllowedInstancesAreChosen(t *testing.T) {
 	g := gomega.NewWithT(t)
 	own, other := instances("a", 3), instances("b", 3)
 	s, r := snapshot(own, other), rng()
 	q := query(0)
 	been := *other[1]
-	q.Among = []*Instance{&been, own[2]}
+	q.Allowed = []*Instance{&been, own[2]}
 	q.Avoid = &been
 	for range 50 {
 		in, _ := s.Pick(q, r)
 		g.Expect(in).To(gomega.BeIdenticalTo(own[2]))
 	}
-	q.Among = []*Instance{&been}
+	q.Allowed = []*Instance{&been}
 	_, code := s.Pick(q, r)
 	g.Expect(code).To(gomega.Equal(fault.NoBackend))
 	q.AvoidIfOthers = true
