--- a/internal/ctl/reference.go
+++ b/internal/ctl/reference.go
@@ -6,7 +6,7 @@
 	"github.com/umberthread/umberthread/settings"
 )
 
-var levelNames = map[settings.Depth]string{
+var levelNames = map[settings.Level]string{
 	settings.AtDefault: "default", settings.AtFleet: "fleet", settings.AtService: "service", settings.AtKind: "kind",
 }
 
--- a/settings/key.go
+++ b/settings/key.go
@@ -66,11 +66,11 @@
 }
 
 // Depth is a level of the tree, as the number of parts of a scope.
-type Depth int
+type Level int
 
 // The levels of the tree.
 const (
-	AtDefault Depth = iota
+	AtDefault Level = iota
 	AtFleet
 	AtService
 	AtKind
@@ -85,14 +85,14 @@
 	// Allowed says in words what values are taken, with their unit.
 	Allowed string
 	// Lowest is the deepest level at which the key may stand.
-	Lowest Depth
+	Lowest Level
 	// Doc is one sentence for the settings reference.
 	Doc string
 
 	set func(*Policy, string) bool
 }
 
-func durationKey(name, def string, lo, hi time.Duration, lowest Depth, doc string, field func(*Policy) *time.Duration) Key {
+func durationKey(name, def string, lo, hi time.Duration, lowest Level, doc string, field func(*Policy) *time.Duration) Key {
 	set := func(p *Policy, s string) bool {
 		d, err := time.ParseDuration(s)
 		if err != nil || d < lo || d > hi {
@@ -104,7 +104,7 @@
 	return Key{name, def, "a duration from " + lo.String() + " to " + hi.String(), lowest, doc, set}
 }
 
-func intKey(name, def string, lo, hi int, lowest Depth, doc string, field func(*Policy) *int) Key {
+func intKey(name, def string, lo, hi int, lowest Level, doc string, field func(*Policy) *int) Key {
 	set := func(p *Policy, s string) bool {
 		n, err := strconv.Atoi(s)
 		if err != nil || n < lo || n > hi {
@@ -117,7 +117,7 @@
 	return Key{name, def, allowed, lowest, doc, set}
 }
 
-func shareKey(name, def string, lowest Depth, doc string, field func(*Policy) *float64) Key {
+func shareKey(name, def string, lowest Level, doc string, field func(*Policy) *float64) Key {
 	set := func(p *Policy, s string) bool {
 		f, err := strconv.ParseFloat(s, 64)
 		if err != nil || !(f >= 0 && f <= 1) {
@@ -130,7 +130,7 @@
 }
 
 // textKey is a key whose value is any text of at most maxText bytes.
-func textKey(name, allowed string, lowest Depth, doc string, field func(*Policy) *string) Key {
+func textKey(name, allowed string, lowest Level, doc string, field func(*Policy) *string) Key {
 	set := func(p *Policy, s string) bool {
 		if len(s) > maxText {
 			return false
@@ -147,7 +147,7 @@
 // takes well under a tenth of it.
 const maxText = 16 << 10
 
-func boolKey(name, def string, lowest Depth, doc string, field func(*Policy) *bool) Key {
+func boolKey(name, def string, lowest Level, doc string, field func(*Policy) *bool) Key {
 	set := func(p *Policy, s string) bool {
 		b, err := strconv.ParseBool(s)
 		if err != nil {
@@ -260,11 +260,11 @@
 	return true
 }
 
-func depthOf(scope string) Depth {
+func depthOf(scope string) Level {
 	if scope == "" {
 		return AtDefault
 	}
-	return Depth(strings.Count(scope, "/") + 1)
+	return Level(strings.Count(scope, "/") + 1)
 }
 
 func parentOf(scope string) string {
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -390,9 +390,9 @@
 }
 
 // childTable names the table that holds the next level's scopes.
-var childTable = map[Depth]string{AtFleet: "service", AtService: "kind"}
+var childTable = map[Level]string{AtFleet: "service", AtService: "kind"}
 
-func flattenChildren(e Entries, parent string, table map[string]any, at Depth) *fault.Error {
+func flattenChildren(e Entries, parent string, table map[string]any, at Level) *fault.Error {
 	for _, name := range sortedKeys(table) {
 		scope := name
 		if parent != "" {
