--- a/settings/key.go
+++ b/settings/key.go
@@ -70,7 +70,7 @@
 
 // The levels of the tree.
 const (
-	AtDefault Level = iota
+	LevelDefault Level = iota
 	AtFleet
 	AtService
 	AtKind
@@ -262,7 +262,7 @@
 
 func depthOf(scope string) Level {
 	if scope == "" {
-		return AtDefault
+		return LevelDefault
 	}
 	return Level(strings.Count(scope, "/") + 1)
 }
