--- a/settings/key.go
+++ b/settings/key.go
@@ -71,7 +71,7 @@
 // The levels of the tree.
 const (
 	LevelDefault Level = iota
-	AtFleet
+	LevelFleet
 	AtService
 	AtKind
 )
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -378,7 +378,7 @@
 		case name == "default":
 			err = flatten(e, "", table, "")
 		case name == "fleet":
-			err = flattenChildren(e, "", table, AtFleet)
+			err = flattenChildren(e, "", table, LevelFleet)
 		default:
 			err = fault.Newf(fault.InvalidSetting, "unknown table %q; allowed are default and fleet", name)
 		}
@@ -390,7 +390,7 @@
 }
 
 // childTable names the table that holds the next level's scopes.
-var childTable = map[Level]string{AtFleet: "service", AtService: "kind"}
+var childTable = map[Level]string{LevelFleet: "service", AtService: "kind"}
 
 func flattenChildren(e Entries, parent string, table map[string]any, at Level) *fault.Error {
 	for _, name := range sortedKeys(table) {
