--- a/settings/tree.go
+++ b/settings/tree.go
@@ -390,7 +390,7 @@
 }
 
 // childTable names the table that holds the next level's scopes.
-var childTable = map[Level]string{LevelFleet: "service", AtService: "kind"}
+var childTable = map[Level]string{LevelFleet: "service", LevelService: "kind"}
 
 func flattenChildren(e Entries, parent string, table map[string]any, at Level) *fault.Error {
 	for _, name := range sortedKeys(table) {
