--- a/internal/ctl/reference.go
+++ b/internal/ctl/reference.go
@@ -7,7 +7,7 @@
 )
 
 var levelNames = map[settings.Level]string{
-	settings.LevelDefault: "default", settings.LevelFleet: "fleet", settings.LevelService: "service", settings.AtKind: "kind",
+	settings.LevelDefault: "default", settings.LevelFleet: "fleet", settings.LevelService: "service", settings.LevelKind: "kind",
 }
 
 const referenceHead = `# Settings of the operators' tree
--- a/settings/key.go
+++ b/settings/key.go
@@ -73,7 +73,7 @@
 	LevelDefault Level = iota
 	LevelFleet
 	LevelService
-	AtKind
+	LevelKind
 )
 
 // Key describes one setting.
@@ -162,39 +162,39 @@
 // keys is the table of all settings, in the order of the reference.
 var keys = []Key{
 	{"policy", "full", "full, static or off", LevelService, "Which policy admits requests; static and off are baselines for comparison.", setMode},
-	{"class", "normal", "background, normal, important or protected", AtKind, "Order of shedding: a higher class is shed later.", setClass},
-	durationKey("deadline", "5s", 10*time.Millisecond, 10*time.Minute, AtKind, "Time a whole request has if its caller names none; also the most that a caller may name.", func(p *Policy) *time.Duration { return &p.Deadline }),
-	boolKey("idempotent", "false", AtKind, "Whether the request may be executed twice without harm.", func(p *Policy) *bool { return &p.Idempotent }),
-	boolKey("key_required", "false", AtKind, "Whether the request must carry an Idempotency-Key and is run at most once.", func(p *Policy) *bool { return &p.KeyRequired }),
-	durationKey("key_retention", "24h", time.Minute, 30*24*time.Hour, AtKind, "How long an Idempotency-Key and its outcome are kept.", func(p *Policy) *time.Duration { return &p.KeyRetention }),
-	intKey("retry_budget", "3", 0, 64, AtKind, "Retries that one request may cause over its whole tree of calls.", func(p *Policy) *int { return &p.RetryBudget }),
+	{"class", "normal", "background, normal, important or protected", LevelKind, "Order of shedding: a higher class is shed later.", setClass},
+	durationKey("deadline", "5s", 10*time.Millisecond, 10*time.Minute, LevelKind, "Time a whole request has if its caller names none; also the most that a caller may name.", func(p *Policy) *time.Duration { return &p.Deadline }),
+	boolKey("idempotent", "false", LevelKind, "Whether the request may be executed twice without harm.", func(p *Policy) *bool { return &p.Idempotent }),
+	boolKey("key_required", "false", LevelKind, "Whether the request must carry an Idempotency-Key and is run at most once.", func(p *Policy) *bool { return &p.KeyRequired }),
+	durationKey("key_retention", "24h", time.Minute, 30*24*time.Hour, LevelKind, "How long an Idempotency-Key and its outcome are kept.", func(p *Policy) *time.Duration { return &p.KeyRetention }),
+	intKey("retry_budget", "3", 0, 64, LevelKind, "Retries that one request may cause over its whole tree of calls.", func(p *Policy) *int { return &p.RetryBudget }),
 	shareKey("retry_ratio", "0.05", LevelService, "Share of the first attempts of a window to a service that may be added as retries.", func(p *Policy) *float64 { return &p.RetryRatio }),
 	durationKey("retry_window", "10s", time.Second, 10*time.Minute, LevelService, "Time over which retries and first attempts are counted; the window before it pays too if it had more.", func(p *Policy) *time.Duration { return &p.RetryWindow }),
 	intKey("retry_burst", "10", 0, 1000, LevelService, "Retries to a service that one node may send in a window beside the ratio.", func(p *Policy) *int { return &p.RetryBurst }),
-	intKey("attempts_max", "0", 0, 16, AtKind, "Backend servers that one call may be sent to; 0 leaves it to the retry budget.", func(p *Policy) *int { return &p.AttemptsMax }),
-	boolKey("quarantine", "true", AtKind, "Whether requests are refused for a while after several backend servers ended while they ran one.", func(p *Policy) *bool { return &p.Quarantine }),
+	intKey("attempts_max", "0", 0, 16, LevelKind, "Backend servers that one call may be sent to; 0 leaves it to the retry budget.", func(p *Policy) *int { return &p.AttemptsMax }),
+	boolKey("quarantine", "true", LevelKind, "Whether requests are refused for a while after several backend servers ended while they ran one.", func(p *Policy) *bool { return &p.Quarantine }),
 	intKey("queue_max", "32", 0, 4096, LevelService, "Requests that may wait beside one backend server.", func(p *Policy) *int { return &p.QueueMax }),
 	durationKey("queue_wait", "1s", time.Millisecond, 10*time.Second, LevelService, "Longest wait in the queue; at most four mean service times are used of it.", func(p *Policy) *time.Duration { return &p.QueueWait }),
 	durationKey("queue_target", "3ms", 100*time.Microsecond, time.Second, LevelService, "Least mean wait above which the admission level rises; three quarters of the mean service time where that is longer.", func(p *Policy) *time.Duration { return &p.QueueTarget }),
 	durationKey("window", "100ms", 10*time.Millisecond, 5*time.Second, LevelService, "Period of the admission control loop.", func(p *Policy) *time.Duration { return &p.Window }),
 	shareKey("share_max", "0.8", LevelService, "Share of a backend server's slots that background requests may wait in on one called service; protected ones may in all, those between in proportion.", func(p *Policy) *float64 { return &p.ShareMax }),
-	intKey("body_max", "16777216", 0, 1<<30, AtKind, "Largest body taken, in bytes.", func(p *Policy) *int { return &p.BodyMax }),
-	intKey("replay_max", "65536", 0, 1<<20, AtKind, "Largest body kept for a retry, in bytes.", func(p *Policy) *int { return &p.ReplayMax }),
+	intKey("body_max", "16777216", 0, 1<<30, LevelKind, "Largest body taken, in bytes.", func(p *Policy) *int { return &p.BodyMax }),
+	intKey("replay_max", "65536", 0, 1<<20, LevelKind, "Largest body kept for a retry, in bytes.", func(p *Policy) *int { return &p.ReplayMax }),
 	shareKey("spill_at", "0.7", LevelService, "Utilisation of the own failure domain from which requests spill over to others.", func(p *Policy) *float64 { return &p.SpillAt }),
 	intKey("eject_failures", "5", 1, 1000, LevelService, "Failures in a row after which a backend server is ejected.", func(p *Policy) *int { return &p.EjectFailures }),
 	durationKey("eject_time", "1s", 10*time.Millisecond, 10*time.Minute, LevelService, "Time until an ejected backend server is probed.", func(p *Policy) *time.Duration { return &p.EjectTime }),
 	shareKey("eject_max", "0.5", LevelService, "Largest share of a service's backend servers ejected at once.", func(p *Policy) *float64 { return &p.EjectMax }),
 	durationKey("ramp", "2s", 0, 10*time.Minute, LevelService, "Time over which a new backend server's share grows to its weight.", func(p *Policy) *time.Duration { return &p.Ramp }),
 	durationKey("silence", "1s", 50*time.Millisecond, time.Minute, LevelService, "Time without a heartbeat after which a connection counts as silent.", func(p *Policy) *time.Duration { return &p.Silence }),
-	shareKey("objective", "0.99", AtKind, "Share of requests that must end well.", func(p *Policy) *float64 { return &p.Objective }),
-	durationKey("objective_within", "2s", time.Millisecond, 10*time.Minute, AtKind, "Time within which a request must end to count as well.", func(p *Policy) *time.Duration { return &p.ObjectiveWithin }),
-	textKey("host", "a host name", AtKind, "Host by which requests of this kind are recognised; empty if only by name.", func(p *Policy) *string { return &p.Host }),
-	textKey("path_prefix", "a path that begins and ends with a slash", AtKind, "Prefix of the path by which requests of this kind are recognised.", func(p *Policy) *string { return &p.PathPrefix }),
-	intKey("weight", "1", 0, 1<<20, AtKind, "Part of the requests of a host and prefix that this kind gets, where several kinds name the same.", func(p *Policy) *int { return &p.Weight }),
+	shareKey("objective", "0.99", LevelKind, "Share of requests that must end well.", func(p *Policy) *float64 { return &p.Objective }),
+	durationKey("objective_within", "2s", time.Millisecond, 10*time.Minute, LevelKind, "Time within which a request must end to count as well.", func(p *Policy) *time.Duration { return &p.ObjectiveWithin }),
+	textKey("host", "a host name", LevelKind, "Host by which requests of this kind are recognised; empty if only by name.", func(p *Policy) *string { return &p.Host }),
+	textKey("path_prefix", "a path that begins and ends with a slash", LevelKind, "Prefix of the path by which requests of this kind are recognised.", func(p *Policy) *string { return &p.PathPrefix }),
+	intKey("weight", "1", 0, 1<<20, LevelKind, "Part of the requests of a host and prefix that this kind gets, where several kinds name the same.", func(p *Policy) *int { return &p.Weight }),
 	textKey("health_path", "a path", LevelService, "Path at which a backend server tells its health.", func(p *Policy) *string { return &p.HealthPath }),
 	intKey("connections", "0", 0, 1<<20, LevelService, "Connections that a backend server takes; 0 leaves it to its announcement.", func(p *Policy) *int { return &p.Connections }),
-	textKey("source", "any text", AtKind, "Text from which an adapter made the entries of the scope, kept to be read back.", nil),
-	{"like", "", "a scope of the same level, for example \"kigali/sheets/open\"", AtKind, "Scope whose own entries are inherited before those of the level above.", setLike},
+	textKey("source", "any text", LevelKind, "Text from which an adapter made the entries of the scope, kept to be read back.", nil),
+	{"like", "", "a scope of the same level, for example \"kigali/sheets/open\"", LevelKind, "Scope whose own entries are inherited before those of the level above.", setLike},
 }
 
 var keyIndex = func() map[string]*Key {
@@ -234,7 +234,7 @@
 		return true
 	}
 	parts := strings.Split(s, "/")
-	if len(parts) > int(AtKind) {
+	if len(parts) > int(LevelKind) {
 		return false
 	}
 	for _, part := range parts {
--- a/settings/routes.go
+++ b/settings/routes.go
@@ -90,7 +90,7 @@
 	table := routeTable{}
 	for _, scope := range t.order {
 		p := t.policies[scope]
-		if depthOf(scope) != AtKind || p.Host == "" || p.PathPrefix == "" || p.Weight == 0 {
+		if depthOf(scope) != LevelKind || p.Host == "" || p.PathPrefix == "" || p.Weight == 0 {
 			continue
 		}
 		table.add(scope, p)
