--- a/internal/ctl/reference.go
+++ b/internal/ctl/reference.go
@@ -32,7 +32,7 @@
 		if k.Default == "" {
 			def = "none"
 		}
-		o.printf("| `%s` | %s | %s | %s | %s |\n", k.Name, def, levelNames[k.Lowest], strings.ReplaceAll(k.Allowed, "|", `\|`), k.Doc)
+		o.printf("| `%s` | %s | %s | %s | %s |\n", k.Name, def, levelNames[k.DeepestLevel], strings.ReplaceAll(k.Allowed, "|", `\|`), k.Doc)
 	}
 	return nil
 }
--- a/settings/key.go
+++ b/settings/key.go
@@ -85,7 +85,7 @@
 	// Allowed says in words what values are taken, with their unit.
 	Allowed string
 	// Lowest is the deepest level at which the key may stand.
-	Lowest Level
+	DeepestLevel Level
 	// Doc is one sentence for the settings reference.
 	Doc string
 
@@ -288,7 +288,7 @@
 	if k == nil {
 		return fault.Newf(fault.InvalidSetting, "%s: unknown key %q; allowed are %s", placeName(scope), name, strings.Join(keyNames(), ", "))
 	}
-	if depthOf(scope) > k.Lowest {
+	if depthOf(scope) > k.DeepestLevel {
 		return fault.Newf(fault.InvalidSetting, "%s: key %q cannot stand this deep in the tree", placeName(scope), name)
 	}
 	var p Policy
