--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -79,7 +79,7 @@
 func (n *Node) usable(raw settings.Entries, last *settings.Tree) *settings.Tree {
 	known := settings.Entries{}
 	for id, v := range raw {
-		if settings.Known(id, v) {
+		if settings.IsValidEntry(id, v) {
 			known[id] = v
 		}
 	}
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -437,4 +437,4 @@
 }
 
 // Known tells whether an entry is one that this release understands.
-func Known(id, value string) bool { return checkEntry(id, value) == nil }
+func IsValidEntry(id, value string) bool { return checkEntry(id, value) == nil }
