--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -94,7 +94,7 @@
 	}
 	c := &call{target: target, service: serviceOf(target), method: r.Method, path: rest, started: time.Now()}
 	conf := n.conf.Load()
-	c.policy, ok = conf.tree.Kind(target)
+	c.policy, ok = conf.tree.KindPolicy(target)
 	if !ok {
 		return nil, unknownTarget(conf, c)
 	}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -29,7 +29,7 @@
 deadline = "1s"
 `))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	p, known := tree.Kind("kigali/sheets/preview")
+	p, known := tree.KindPolicy("kigali/sheets/preview")
 	g.Expect(known).To(gomega.BeTrue())
 	g.Expect(p.Class).To(gomega.Equal(rank.Protected))
 	g.Expect(p.Deadline).To(gomega.Equal(time.Second))
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -230,7 +230,7 @@
 }
 
 // Kind returns the policy of a request kind, and whether the kind is known.
-func (t *Tree) Kind(scope string) (*Policy, bool) {
+func (t *Tree) KindPolicy(scope string) (*Policy, bool) {
 	p, ok := t.policies[scope]
 	return p, ok
 }
