--- a/internal/ctl/config.go
+++ b/internal/ctl/config.go
@@ -199,7 +199,7 @@
 
 // ConfigExplain prints each effective value of a scope and where it is from.
 func ConfigExplain(o Out, c *Client, scope string) error {
-	var ex []settings.Explained
+	var ex []settings.EffectiveValue
 	if err := c.Get("/v1/config/explain", url.Values{"scope": {scope}}, &ex); err != nil {
 		return err
 	}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -37,9 +37,9 @@
 	ex, err := tree.Explain("kigali/sheets/preview")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(ex).To(gomega.ContainElements(
-		Explained{"class", "protected", "kigali/sheets/open"},
-		Explained{"deadline", "1s", "kigali/sheets/preview"},
-		Explained{"retry_budget", "3", "built-in"},
+		EffectiveValue{"class", "protected", "kigali/sheets/open"},
+		EffectiveValue{"deadline", "1s", "kigali/sheets/preview"},
+		EffectiveValue{"retry_budget", "3", "built-in"},
 	))
 }
 
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -250,14 +250,14 @@
 }
 
 // Explained is one effective value and where it comes from.
-type Explained struct {
+type EffectiveValue struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
 	From  string `json:"from"`
 }
 
 // Explain returns each effective value of a scope with the level it is from.
-func (t *Tree) Explain(scope string) ([]Explained, error) {
+func (t *Tree) Explain(scope string) ([]EffectiveValue, error) {
 	if !validScope(scope) {
 		return nil, fault.Newf(fault.BadRequest, "%q is no scope; allowed is fleet/service/kind, or shorter", scope)
 	}
@@ -265,10 +265,10 @@
 	if err != nil {
 		return nil, err
 	}
-	out := make([]Explained, 0, len(keys))
+	out := make([]EffectiveValue, 0, len(keys))
 	for i := range keys {
 		v, from := t.lookup(chain, &keys[i])
-		out = append(out, Explained{keys[i].Name, v, from})
+		out = append(out, EffectiveValue{keys[i].Name, v, from})
 	}
 	return out, nil
 }
