--- a/confstore/store.go
+++ b/confstore/store.go
@@ -115,7 +115,7 @@
 
 // Since returns the changes after a version, oldest first; false if they are
 // no longer all kept.
-func (st *Store) Since(version uint64) ([]Change, bool) {
+func (st *Store) ChangesSince(version uint64) ([]Change, bool) {
 	behind := st.s.Version - min(version, st.s.Version)
 	if behind > uint64(len(st.s.Changes)) {
 		return nil, false
--- a/internal/node/statemachine.go
+++ b/internal/node/statemachine.go
@@ -62,7 +62,7 @@
 	before := m.store.Version()
 	r := m.store.Apply(c)
 	if m.store.Version() != before {
-		changes, _ := m.store.Since(before)
+		changes, _ := m.store.ChangesSince(before)
 		m.n.takeChanges(changes)
 	}
 	return encode(&r)
@@ -80,7 +80,7 @@
 		return err
 	}
 	m.store = store
-	if changes, ok := store.Since(m.n.conf.Load().version); ok {
+	if changes, ok := store.ChangesSince(m.n.conf.Load().version); ok {
 		m.n.takeChanges(changes)
 	}
 	m.n.takeFull(store.Version(), store.Entries())
