--- a/confstore/store.go
+++ b/confstore/store.go
@@ -124,7 +124,7 @@
 }
 
 // Known returns the result of a change that was applied before.
-func (st *Store) Known(id string) (Result, bool) {
+func (st *Store) LookupResult(id string) (Result, bool) {
 	r, ok := st.byID[id]
 	return r, ok
 }
--- a/internal/node/statemachine.go
+++ b/internal/node/statemachine.go
@@ -33,7 +33,7 @@
 	if err := msgpack.Unmarshal(command, &c); err != nil {
 		return nil, fault.Wrap(fault.BadRequest, err, "malformed change")
 	}
-	if r, ok := m.store.Known(c.ID); ok {
+	if r, ok := m.store.LookupResult(c.ID); ok {
 		return encode(&r), nil
 	}
 	if c.Base != m.store.Version() {
