--- a/settings/bench_test.go
+++ b/settings/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// large is a document at the size of two years from now.
-func large() Entries {
+// largeDocument returns a document with 3,300 services of four request kinds each.
+func largeDocument() Entries {
 	e := Entries{"#deadline": "5s"}
 	for s := range 3300 {
 		svc := fmt.Sprintf("fleet%d/service-%d", s%2, s)
@@ -22,7 +22,7 @@
 }
 
 func BenchmarkNewTree3300Services(b *testing.B) {
-	e := large()
+	e := largeDocument()
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := NewTree(e); err != nil {
@@ -32,7 +32,7 @@
 }
 
 func BenchmarkApplyOneEntry3300Services(b *testing.B) {
-	t, err := NewTree(large())
+	t, err := NewTree(largeDocument())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -44,13 +44,13 @@
 	}
 }
 
-// BenchmarkMemory3300Services reports the memory that a document takes.
+// BenchmarkMemory3300Services reports the heap growth for one document, in MiB.
 func BenchmarkMemory3300Services(b *testing.B) {
 	for b.Loop() {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		t, err := NewTree(large())
+		t, err := NewTree(largeDocument())
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/settings/routes_test.go
+++ b/settings/routes_test.go
@@ -6,7 +6,7 @@
 	"github.com/onsi/gomega"
 )
 
-const routed = `
+const routesDocument = `
 [fleet.f.service.east.kind.split]
 host = "Calls.example"
 path_prefix = "/a/"
@@ -20,9 +20,9 @@
 path_prefix = "/a/b/"
 `
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestMatchRouteUsesLongestPrefix(t *testing.T) {
 	g := gomega.NewWithT(t)
-	tree, err := ParseTOML([]byte(routed))
+	tree, err := ParseTOML([]byte(routesDocument))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	for path, want := range map[string]string{"/a/": "/a/", "/a/x/y": "/a/", "/a/b": "/a/", "/a/b/": "/a/b/", "/a/b/c": "/a/b/", "/": "", "": "", "/ab/": ""} {
 		r := tree.MatchRoute("CALLS.example:8080", path)
@@ -36,11 +36,11 @@
 	g.Expect(tree.MatchRoute("other.example", "/a/")).To(gomega.BeNil())
 }
 
-// TestSplitKeepsItsWeightsOverFewRequests: a part is within a hundredth of its
-// weight after 200 requests.
-func TestSplitKeepsItsWeightsOverFewRequests(t *testing.T) {
+// TestSelectTargetFollowsWeightsOverFewRequests checks that a target's share is
+// within 0.01 of its weight after 200 requests.
+func TestSelectTargetFollowsWeightsOverFewRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
-	tree, err := ParseTOML([]byte(routed))
+	tree, err := ParseTOML([]byte(routesDocument))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	r := tree.MatchRoute("calls.example", "/a/")
 	west := 0
@@ -52,11 +52,11 @@
 	g.Expect(west).To(gomega.BeNumerically("~", 20, 2))
 }
 
-// TestChangeOfAServiceReachesItsRoutes: a route's policy is never that of an
-// earlier version.
-func TestChangeOfAServiceReachesItsRoutes(t *testing.T) {
+// TestApplyUpdatesRoutePolicies guards against a route that keeps the policy of
+// an earlier version.
+func TestApplyUpdatesRoutePolicies(t *testing.T) {
 	g := gomega.NewWithT(t)
-	tree, err := ParseTOML([]byte(routed))
+	tree, err := ParseTOML([]byte(routesDocument))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	next, err := tree.Apply(Patch{Set: Entries{"f/west#deadline": "7s"}})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -43,20 +43,20 @@
 	))
 }
 
-func TestWrongSettingsAreRefusedWithPlaceAndAllowed(t *testing.T) {
+func TestInvalidSettingsErrorNamesScopeAndAllowedValues(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"unknown key":        {"[fleet.kigali]\nwat = 1", `kigali: unknown key "wat"`},
 		"wrong unit":         {"[fleet.kigali]\ndeadline = 5", `kigali: deadline = "5"; allowed is a duration`},
 		"out of range":       {"[default]\nretry_budget = 99", `default: retry_budget = "99"; allowed is a whole number from 0 to 64`},
 		"cycle":              {"[fleet.a.service.s.kind.x]\nlike = \"a/s/y\"\n[fleet.a.service.s.kind.y]\nlike = \"a/s/x\"", "closes a cycle"},
-		"like nothing":       {"[fleet.a]\nlike = \"b\"", "an existing scope of the same level"},
-		"too deep":           {"[fleet.a.service.s.kind.x]\npolicy = \"off\"", "cannot stand this deep"},
+		"unknown like scope": {"[fleet.a]\nlike = \"b\"", "an existing scope of the same level"},
+		"too deep":           {"[fleet.a.service.s.kind.x]\npolicy = \"off\"", "is not allowed at this level"},
 		"no such table":      {"[flet.a]\n", `unknown table "flet"`},
 		"key at the top":     {"deadline = \"5s\"", "allowed are the tables default and fleet"},
 		"bad name":           {"[fleet.\"a b\"]\n", "a name of letters"},
 		"broken TOML":        {"[fleet", "not valid TOML"},
 		"table in a kind":    {"[fleet.a.service.s.kind.x.deeper]\n", `unknown table "deeper"`},
-		"class of no value":  {"[default]\nclass = \"top\"", "background, normal, important or protected"},
+		"unknown class":      {"[default]\nclass = \"top\"", "background, normal, important or protected"},
 		"share above one":    {"[default]\nobjective = 1.5", "a share from 0 to 1"},
 		"array for a number": {"[default]\nbody_max = [1]", "a whole number"},
 	} {
@@ -88,9 +88,9 @@
 	}
 }
 
-// TestApplyIsNewTree checks that a tree changed step by step is the tree of the
-// document that results, policy by policy.
-func TestApplyIsNewTree(t *testing.T) {
+// TestApplyMatchesNewTree checks that Apply gives the same scopes and policies
+// as NewTree of the resulting document.
+func TestApplyMatchesNewTree(t *testing.T) {
 	scopes := []string{"", "a", "a/s", "a/s/k", "a/s/l", "b", "b/t/k"}
 	rapid.Check(t, func(t *rapid.T) {
 		tree := Empty
@@ -133,7 +133,7 @@
 				}
 			}
 			if d := tree.Diff(next); len(d.Set) > len(p.Set) || len(d.Remove) != len(p.Remove) {
-				t.Fatalf("the difference %+v is more than the patch %+v", d, p)
+				t.Fatalf("Diff returns %+v, more than the patch %+v", d, p)
 			}
 			tree = next
 		}
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -13,29 +13,31 @@
 	"github.com/umberthread/umberthread/fault"
 )
 
-// declared is the entry that makes a scope exist without setting anything.
-const declared = "-"
+// declarationKey is the key of an entry that declares a scope without setting
+// anything.
+const declarationKey = "-"
 
-// Entries is a document: "scope#key" to value.
+// Entries is a document: values by "scope#key".
 type Entries map[string]string
 
-// Tree is a checked document. It is immutable.
+// Tree is a validated document with its resolved policies. It is immutable and
+// safe for concurrent use.
 type Tree struct {
-	entries  Entries
-	own      map[string][]setting
-	policies map[string]*Policy
-	// order holds all scopes, each behind those that it inherits from.
-	order []string
-	// routes finds request kinds by host and path.
+	entries        Entries
+	entriesByScope map[string][]setting
+	policies       map[string]*Policy
+	// order holds all scopes, each after the levels above it.
+	order  []string
 	routes routeTable
 }
 
 // setting is one entry of a scope.
 type setting struct{ name, value string }
 
-// Empty is the tree without entries: every key has its default.
+// Empty is the tree of a document without entries: every key has its default.
 var Empty = mustTree(Entries{})
 
+// mustTree is NewTree for a document known to be valid; it panics on an error.
 func mustTree(e Entries) *Tree {
 	t, err := NewTree(e)
 	if err != nil {
@@ -44,16 +46,16 @@
 	return t
 }
 
-// NewTree checks a document whole and resolves every scope in it. The entries
-// are kept and must not be changed afterwards.
+// NewTree validates a document and resolves the policy of every scope in it.
+// The tree keeps the entries, which must not be changed afterwards.
 func NewTree(e Entries) (*Tree, error) {
-	if err := checkAll(e); err != nil {
+	if err := validateEntries(e); err != nil {
 		return nil, err
 	}
-	t := &Tree{entries: e, own: map[string][]setting{}, policies: map[string]*Policy{}, order: e.scopes()}
+	t := &Tree{entries: e, entriesByScope: map[string][]setting{}, policies: map[string]*Policy{}, order: e.scopes()}
 	for id, v := range e {
 		scope, name, _ := strings.Cut(id, "#")
-		t.own[scope] = append(t.own[scope], setting{name, v})
+		t.entriesByScope[scope] = append(t.entriesByScope[scope], setting{name, v})
 	}
 	if err := t.resolveAll(nil, nil); err != nil {
 		return nil, err
@@ -62,18 +64,18 @@
 	return t, nil
 }
 
-// resolveAll resolves the scopes. Those that no touched scope can change are
-// taken from old, if it is given: a change of one service must not cost the
-// work of all.
+// resolveAll computes the policies of all scopes. Policies that the touched
+// scopes cannot affect are taken from old unless it is nil, so that a change
+// of one service costs little in a large document.
 func (t *Tree) resolveAll(old *Tree, touched map[string]bool) error {
 	stale := map[string]bool{}
 	for _, scope := range t.order {
-		likes, err := t.likes(scope)
+		likes, err := t.likeChain(scope)
 		if err != nil {
 			return err
 		}
 		var p *Policy
-		if old != nil && !touched[scope] && !stale[parentOf(scope)] && len(likes) == 0 {
+		if old != nil && !touched[scope] && !stale[parentScope(scope)] && len(likes) == 0 {
 			p = old.policies[scope]
 		}
 		if p == nil {
@@ -85,22 +87,23 @@
 	return nil
 }
 
-// checkAll checks each entry on its own. Of several wrong ones the first in
-// the order of their places is told.
-func checkAll(e Entries) error {
+// validateEntries checks each entry on its own and returns the error of the
+// first invalid one in the order of their ids.
+func validateEntries(e Entries) error {
 	bad := ""
 	for id, v := range e {
-		if (bad == "" || id < bad) && checkEntry(id, v) != nil {
+		if (bad == "" || id < bad) && validateEntry(id, v) != nil {
 			bad = id
 		}
 	}
 	if bad == "" {
 		return nil
 	}
-	return checkEntry(bad, e[bad])
+	return validateEntry(bad, e[bad])
 }
 
-func (e Entries) sorted() []string {
+// sortedIDs returns the ids of all entries, "scope#key", sorted.
+func (e Entries) sortedIDs() []string {
 	ids := make([]string, 0, len(e))
 	for id := range e {
 		ids = append(ids, id)
@@ -109,14 +112,14 @@
 	return ids
 }
 
-// scopes returns every scope of the document and the scopes above them.
+// scopes returns every scope of the document and all scopes above them, sorted.
 func (e Entries) scopes() []string {
 	seen := map[string]bool{"": true}
 	for id := range e {
 		scope, _, _ := strings.Cut(id, "#")
 		for scope != "" && !seen[scope] {
 			seen[scope] = true
-			scope = parentOf(scope)
+			scope = parentScope(scope)
 		}
 	}
 	out := make([]string, 0, len(seen))
@@ -127,32 +130,34 @@
 	return out
 }
 
-// likes returns the scopes that a scope is like, nearest first. It fails on a
-// cycle and on a like that names nothing.
-func (t *Tree) likes(scope string) ([]string, error) {
+// likeChain follows the like keys from a scope and returns the scopes that they
+// name, nearest first. A cycle, an unknown scope or one of another level is an
+// error.
+func (t *Tree) likeChain(scope string) ([]string, error) {
 	var out []string
 	for s := scope; ; {
 		next := t.entries[s+"#like"]
 		if next == "" {
 			return out, nil
 		}
-		if depthOf(next) != depthOf(scope) || !t.has(next) {
-			return nil, fault.Newf(fault.InvalidSetting, "%s: like = %q; allowed is an existing scope of the same level", placeName(s), next)
+		if levelOf(next) != levelOf(scope) || !t.hasScopeOrChild(next) {
+			return nil, fault.Newf(fault.InvalidSetting, "%s: like = %q; allowed is an existing scope of the same level", displayScope(s), next)
 		}
 		if next == scope || slices.Contains(out, next) {
-			return nil, fault.Newf(fault.InvalidSetting, "%s: like = %q closes a cycle", placeName(scope), next)
+			return nil, fault.Newf(fault.InvalidSetting, "%s: like = %q closes a cycle", displayScope(scope), next)
 		}
 		out = append(out, next)
 		s = next
 	}
 }
 
-// has tells whether the document has the scope or one below it.
-func (t *Tree) has(scope string) bool {
-	if len(t.own[scope]) > 0 {
+// hasScopeOrChild reports whether the document has an entry of the scope or of
+// one below it.
+func (t *Tree) hasScopeOrChild(scope string) bool {
+	if len(t.entriesByScope[scope]) > 0 {
 		return true
 	}
-	for s := range t.own {
+	for s := range t.entriesByScope {
 		if strings.HasPrefix(s, scope+"/") {
 			return true
 		}
@@ -160,31 +165,33 @@
 	return false
 }
 
-// resolve lays the entries of the scopes that a scope is like, and its own,
-// over the policy of the level above.
+// resolve returns the policy of a scope: the policy of the level above,
+// overridden by the entries of the scopes in likes, the nearest last, and then
+// by those of the scope itself.
 func (t *Tree) resolve(scope string, likes []string) *Policy {
-	p := builtIn
+	p := builtInPolicy
 	if scope != "" {
-		p = *t.policies[parentOf(scope)]
+		p = *t.policies[parentScope(scope)]
 		p.Like = ""
 	}
 	for i := len(likes) - 1; i >= 0; i-- {
-		t.lay(&p, likes[i])
+		t.applyEntries(&p, likes[i])
 	}
-	t.lay(&p, scope)
+	t.applyEntries(&p, scope)
 	return &p
 }
 
-func (t *Tree) lay(p *Policy, scope string) {
-	for _, s := range t.own[scope] {
+// applyEntries sets the values of a scope's own entries in p.
+func (t *Tree) applyEntries(p *Policy, scope string) {
+	for _, s := range t.entriesByScope[scope] {
 		if k := keyIndex[s.name]; k != nil {
 			k.set(p, s.value)
 		}
 	}
 }
 
-// builtIn is the policy of a document without entries.
-var builtIn = func() Policy {
+// builtInPolicy holds the default of every key.
+var builtInPolicy = func() Policy {
 	var p Policy
 	for i := range keys {
 		keys[i].set(&p, keys[i].Default)
@@ -192,12 +199,12 @@
 	return p
 }()
 
-// chain returns the scopes that give a scope its values, nearest first: the
-// scope, those it is like, then the same for each level above.
-func (t *Tree) chain(scope string) ([]string, error) {
+// inheritanceChain returns the scopes that a scope takes values from, nearest
+// first: the scope, its like chain, then the same for each level above.
+func (t *Tree) inheritanceChain(scope string) ([]string, error) {
 	var chain []string
-	for level := scope; ; level = parentOf(level) {
-		likes, err := t.likes(level)
+	for level := scope; ; level = parentScope(level) {
+		likes, err := t.likeChain(level)
 		if err != nil {
 			return nil, err
 		}
@@ -208,40 +215,42 @@
 	}
 }
 
-// lookup returns the value of a key along a chain and the scope it is from.
-func (t *Tree) lookup(chain []string, k *Key) (value, from string) {
+// valueOnChain returns the value of a key in the first scope of the chain that
+// sets it, and the displayed name of that scope.
+func (t *Tree) valueOnChain(chain []string, k *Key) (value, from string) {
 	for _, s := range chain {
 		if v, ok := t.entries[s+"#"+k.Name]; ok {
-			return v, placeName(s)
+			return v, displayScope(s)
 		}
 	}
 	return k.Default, "built-in"
 }
 
-// Policy returns the effective settings of a scope, or those of the nearest
-// level above that the document knows. The result must not be changed.
+// Policy returns the effective settings of a scope, or of the nearest level
+// above that the document has. The result must not be changed.
 func (t *Tree) Policy(scope string) *Policy {
 	for {
 		if p := t.policies[scope]; p != nil {
 			return p
 		}
-		scope = parentOf(scope)
+		scope = parentScope(scope)
 	}
 }
 
-// Kind returns the policy of a request kind, and whether the kind is known.
+// KindPolicy returns the policy of a request kind, and whether the document has
+// the kind. The policy must not be changed.
 func (t *Tree) KindPolicy(scope string) (*Policy, bool) {
 	p, ok := t.policies[scope]
 	return p, ok
 }
 
-// HasService tells whether the document describes the service.
+// HasService reports whether the document has the service.
 func (t *Tree) HasService(service string) bool {
 	_, ok := t.policies[service]
 	return ok
 }
 
-// Scopes returns all scopes, sorted.
+// Scopes returns all scopes of the document, sorted.
 func (t *Tree) Scopes() []string { return t.entries.scopes() }
 
 // Entries returns a copy of the document.
@@ -249,37 +258,39 @@
 	return maps.Clone(t.entries)
 }
 
-// Explained is one effective value and where it comes from.
+// EffectiveValue is the value of one key in a scope and the scope that set it.
 type EffectiveValue struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
 	From  string `json:"from"`
 }
 
-// Explain returns each effective value of a scope with the level it is from.
+// Explain returns the effective value of each key in a scope, and the scope
+// that set it.
 func (t *Tree) Explain(scope string) ([]EffectiveValue, error) {
 	if !validScope(scope) {
-		return nil, fault.Newf(fault.BadRequest, "%q is no scope; allowed is fleet/service/kind, or shorter", scope)
+		return nil, fault.Newf(fault.BadRequest, "%q is not a scope; allowed is fleet/service/kind, or shorter", scope)
 	}
-	chain, err := t.chain(scope)
+	chain, err := t.inheritanceChain(scope)
 	if err != nil {
 		return nil, err
 	}
 	out := make([]EffectiveValue, 0, len(keys))
 	for i := range keys {
-		v, from := t.lookup(chain, &keys[i])
+		v, from := t.valueOnChain(chain, &keys[i])
 		out = append(out, EffectiveValue{keys[i].Name, v, from})
 	}
 	return out, nil
 }
 
-// Patch is a change of a document: entries to set, and to remove.
+// Patch is a change of a document: entries to set and ids of entries to remove.
 type Patch struct {
 	Set    Entries
 	Remove []string
 }
 
-// Apply returns the tree with the patch, checked.
+// Apply returns a new tree with the patch applied. It fails if the resulting
+// document is invalid or an entry to remove does not exist.
 func (t *Tree) Apply(p Patch) (*Tree, error) {
 	touched := map[string]bool{}
 	next := t.Entries()
@@ -290,15 +301,15 @@
 		delete(next, id)
 		touched[scopeOf(id)] = true
 	}
-	if err := checkAll(p.Set); err != nil {
+	if err := validateEntries(p.Set); err != nil {
 		return nil, err
 	}
 	for id, v := range p.Set {
 		next[id] = v
 		touched[scopeOf(id)] = true
 	}
-	nt := &Tree{entries: next, own: maps.Clone(t.own), policies: make(map[string]*Policy, len(t.policies)), order: t.order}
-	nt.regroup(t, p, touched)
+	nt := &Tree{entries: next, entriesByScope: maps.Clone(t.entriesByScope), policies: make(map[string]*Policy, len(t.policies)), order: t.order}
+	nt.updateEntries(t, p, touched)
 	if err := nt.resolveAll(t, touched); err != nil {
 		return nil, err
 	}
@@ -306,13 +317,15 @@
 	return nt, nil
 }
 
+// scopeOf returns the scope of an entry's id.
 func scopeOf(id string) string {
 	scope, _, _ := strings.Cut(id, "#")
 	return scope
 }
 
-// regroup brings own and order up to a patch of old.
-func (t *Tree) regroup(old *Tree, p Patch, touched map[string]bool) {
+// updateEntries updates entriesByScope and order for a patch of old; touched
+// holds the scopes of the patch.
+func (t *Tree) updateEntries(old *Tree, p Patch, touched map[string]bool) {
 	changed := map[string]bool{}
 	for _, id := range p.Remove {
 		changed[id] = true
@@ -322,22 +335,22 @@
 	}
 	for scope := range touched {
 		var kept []setting
-		for _, s := range old.own[scope] {
+		for _, s := range old.entriesByScope[scope] {
 			if !changed[scope+"#"+s.name] {
 				kept = append(kept, s)
 			}
 		}
-		t.own[scope] = kept
+		t.entriesByScope[scope] = kept
 	}
 	for id, v := range p.Set {
 		scope, name, _ := strings.Cut(id, "#")
-		t.own[scope] = append(t.own[scope], setting{name, v})
+		t.entriesByScope[scope] = append(t.entriesByScope[scope], setting{name, v})
 	}
 	reorder := len(p.Remove) > 0
 	for scope := range touched {
 		reorder = reorder || old.policies[scope] == nil
-		if len(t.own[scope]) == 0 {
-			delete(t.own, scope)
+		if len(t.entriesByScope[scope]) == 0 {
+			delete(t.entriesByScope, scope)
 		}
 	}
 	if reorder {
@@ -353,7 +366,7 @@
 			p.Set[id] = v
 		}
 	}
-	for _, id := range t.entries.sorted() {
+	for _, id := range t.entries.sortedIDs() {
 		if _, ok := to.entries[id]; !ok {
 			p.Remove = append(p.Remove, id)
 		}
@@ -361,7 +374,7 @@
 	return p
 }
 
-// ParseTOML reads a document with the tables [default], [fleet.F],
+// ParseTOML parses a document with the tables [default], [fleet.F],
 // [fleet.F.service.S] and [fleet.F.service.S.kind.K].
 func ParseTOML(data []byte) (*Tree, error) {
 	var raw map[string]any
@@ -374,9 +387,9 @@
 		var err *fault.Error
 		switch {
 		case !ok:
-			err = fault.Newf(fault.InvalidSetting, "%q stands at the top; allowed are the tables default and fleet", name)
+			err = fault.Newf(fault.InvalidSetting, "key %q at the top level; allowed are the tables default and fleet", name)
 		case name == "default":
-			err = flatten(e, "", table, "")
+			err = flattenTable(e, "", table, "")
 		case name == "fleet":
 			err = flattenChildren(e, "", table, LevelFleet)
 		default:
@@ -389,9 +402,11 @@
 	return NewTree(e)
 }
 
-// childTable names the table that holds the next level's scopes.
-var childTable = map[Level]string{LevelFleet: "service", LevelService: "kind"}
+// childTableName holds, for each level, the name of the TOML table with the
+// scopes of the next level.
+var childTableName = map[Level]string{LevelFleet: "service", LevelService: "kind"}
 
+// flattenChildren adds the scopes of a table at level at to e.
 func flattenChildren(e Entries, parent string, table map[string]any, at Level) *fault.Error {
 	for _, name := range sortedKeys(table) {
 		scope := name
@@ -402,25 +417,27 @@
 		if !ok || !ValidName(name) {
 			return fault.Newf(fault.InvalidSetting, "%s: must be a table with a name of letters, digits, dots, dashes and underscores", scope)
 		}
-		e[scope+"#"+declared] = ""
-		if err := flatten(e, scope, sub, childTable[at]); err != nil {
+		e[scope+"#"+declarationKey] = ""
+		if err := flattenTable(e, scope, sub, childTableName[at]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func flatten(e Entries, scope string, table map[string]any, children string) *fault.Error {
+// flattenTable adds the settings of one scope's table to e, and the scopes in
+// its table named children, if any.
+func flattenTable(e Entries, scope string, table map[string]any, children string) *fault.Error {
 	for _, name := range sortedKeys(table) {
 		sub, isTable := table[name].(map[string]any)
 		if isTable && name == children && children != "" {
-			if err := flattenChildren(e, scope, sub, depthOf(scope)+1); err != nil {
+			if err := flattenChildren(e, scope, sub, levelOf(scope)+1); err != nil {
 				return err
 			}
 			continue
 		}
 		if isTable {
-			return fault.Newf(fault.InvalidSetting, "%s: unknown table %q", placeName(scope), name)
+			return fault.Newf(fault.InvalidSetting, "%s: unknown table %q", displayScope(scope), name)
 		}
 		e[scope+"#"+name] = fmt.Sprint(table[name])
 	}
@@ -436,5 +453,6 @@
 	return out
 }
 
-// Known tells whether an entry is one that this release understands.
-func IsValidEntry(id, value string) bool { return checkEntry(id, value) == nil }
+// IsValidEntry reports whether this release knows the entry's key and accepts
+// its value.
+func IsValidEntry(id, value string) bool { return validateEntry(id, value) == nil }
