--- a/confstore/history_test.go
+++ b/confstore/history_test.go
@@ -15,32 +15,35 @@
 	"github.com/umberthread/umberthread/settings"
 )
 
-// op is what an operator asks: a change, or a read if ID is empty.
-type op struct {
+// operation is a change, or a read if id is empty.
+type operation struct {
 	id   string
 	base uint64
 }
 
-// answer is what the operator is told; lost answers are not in the history's
-// results but may have taken effect.
-type answer struct {
+// response is the result of an operation. The operation of a lost response
+// may have taken effect.
+type response struct {
 	version uint64
 	code    fault.Code
 	lost    bool
 }
 
-// spec is the simple oracle: one register of the version and the results.
-type spec struct {
+// specState is the state of the sequential specification: the version, and the
+// result of each change as "id=result;".
+type specState struct {
 	version uint64
 	results string
 }
 
-func step(state, input, output any) (bool, any) {
-	s, in, out := state.(spec), input.(op), output.(answer)
+// specStep reports whether the specification allows a response, and the state
+// after the operation.
+func specStep(state, input, output any) (bool, any) {
+	s, in, out := state.(specState), input.(operation), output.(response)
 	if in.id == "" {
 		return out.lost || out.version == s.version, s
 	}
-	first := find(s.results, in.id)
+	first := findResult(s.results, in.id)
 	if first == "" {
 		first = "c"
 		next := s
@@ -60,7 +63,8 @@
 	return out.code == fault.None && fmt.Sprint(out.version) == first, s
 }
 
-func find(results, id string) string {
+// findResult returns a change's result in specState.results, or "".
+func findResult(results, id string) string {
 	for i := 0; i < len(results); {
 		eq := i
 		for results[eq] != '=' {
@@ -79,42 +83,45 @@
 }
 
 var model = porcupine.Model{
-	Init:  func() any { return spec{} },
-	Step:  step,
-	Equal: func(a, b any) bool { return a.(spec) == b.(spec) },
+	Init:  func() any { return specState{} },
+	Step:  specStep,
+	Equal: func(a, b any) bool { return a.(specState) == b.(specState) },
 }
 
-// member is one replica with its store.
-type member struct {
-	core  *raft.Core
-	store *Store
-	wait  map[uint64]pending
-	reads map[uint64]int
-	held  []raft.Read
+// replica is one Raft node with its store.
+type replica struct {
+	core            *raft.Core
+	store           *Store
+	proposals       map[uint64]proposal
+	reads           map[uint64]int
+	unansweredReads []raft.Read
 }
 
-type pending struct {
+// proposal is an operation that waits for its log entry to be applied.
+type proposal struct {
 	term uint64
 	op   int
 }
 
-// group is three replicas in one process over a network that loses, delays,
-// doubles and cuts.
-type group struct {
-	members []*member
-	net     []raft.Message
-	cut     map[string]bool
-	rng     *rand.Rand
-	events  []porcupine.Event
-	open    map[int]bool
-	nextOp  int
-	readID  uint64
-	// staleReads answers reads without asking a quorum: the broken variant.
+// cluster is three replicas in one process on a simulated network that drops,
+// delays, duplicates and blocks messages.
+type cluster struct {
+	replicas []*replica
+	inFlight []raft.Message
+	blocked  map[string]bool
+	rng      *rand.Rand
+	events   []porcupine.Event
+	openOps  map[int]bool
+	nextOp   int
+	readID   uint64
+	// staleReads answers reads from the local store without a quorum, which is
+	// not linearizable.
 	staleReads bool
 }
 
-func newGroup(seed uint64) *group {
-	g := &group{cut: map[string]bool{}, rng: rand.New(rand.NewPCG(seed, 3)), open: map[int]bool{}}
+// newCluster returns three replicas without a leader.
+func newCluster(seed uint64) *cluster {
+	g := &cluster{blocked: map[string]bool{}, rng: rand.New(rand.NewPCG(seed, 3)), openOps: map[int]bool{}}
 	var conf raft.Conf
 	for i := range 3 {
 		conf.Voters = append(conf.Voters, raft.Peer{ID: fmt.Sprint(i)})
@@ -122,57 +129,62 @@
 	for i := range 3 {
 		o := raft.Options{ID: fmt.Sprint(i), Election: 10, Heartbeat: 2, MaxBatch: 8, Rand: g.rng}
 		core := raft.New(o, raft.State{Term: 1, Commit: 1}, raft.Snapshot{Index: 1, Term: 1, Conf: conf}, nil)
-		g.members = append(g.members, &member{core: core, store: New(), wait: map[uint64]pending{}, reads: map[uint64]int{}})
+		g.replicas = append(g.replicas, &replica{core: core, store: New(), proposals: map[uint64]proposal{}, reads: map[uint64]int{}})
 	}
 	return g
 }
 
-// elect makes the first member lead, so that the history begins with work.
-func (g *group) elect() {
-	g.members[0].core.Campaign()
-	g.work(g.members[0])
-	for len(g.net) > 0 {
-		msg := g.net[0]
-		g.net = g.net[1:]
-		to := g.members[msg.To[0]-'0']
+// elect makes the first replica leader.
+func (g *cluster) elect() {
+	g.replicas[0].core.Campaign()
+	g.processReady(g.replicas[0])
+	for len(g.inFlight) > 0 {
+		msg := g.inFlight[0]
+		g.inFlight = g.inFlight[1:]
+		to := g.replicas[msg.To[0]-'0']
 		to.core.Step(msg)
-		g.work(to)
+		g.processReady(to)
 	}
 }
 
-func (g *group) begin(client int, in op) int {
+// recordCall adds the start of an operation to the history and returns its id.
+func (g *cluster) recordCall(client int, in operation) int {
 	g.nextOp++
-	g.open[g.nextOp] = true
+	g.openOps[g.nextOp] = true
 	g.events = append(g.events, porcupine.Event{ClientId: client, Kind: porcupine.CallEvent, Value: in, Id: g.nextOp})
 	return g.nextOp
 }
 
-func (g *group) end(id int, out answer) {
-	if !g.open[id] {
+// recordReturn adds the end of an operation to the history, once.
+func (g *cluster) recordReturn(id int, out response) {
+	if !g.openOps[id] {
 		return
 	}
-	delete(g.open, id)
+	delete(g.openOps, id)
 	g.events = append(g.events, porcupine.Event{ClientId: 0, Kind: porcupine.ReturnEvent, Value: out, Id: id})
 }
 
-func (g *group) work(m *member) {
+// processReady sends the replica's messages, applies its committed entries and
+// answers its reads.
+func (g *cluster) processReady(m *replica) {
 	for {
 		rd := m.core.Ready()
 		if rd.Empty() {
 			return
 		}
-		g.net = append(g.net, rd.Early...)
+		g.inFlight = append(g.inFlight, rd.Early...)
 		m.core.Advance(rd)
-		g.net = append(g.net, rd.Messages...)
+		g.inFlight = append(g.inFlight, rd.Messages...)
 		for _, e := range rd.Committed {
 			g.apply(m, e)
 		}
-		m.held = append(m.held, rd.Reads...)
+		m.unansweredReads = append(m.unansweredReads, rd.Reads...)
 		g.answerReads(m)
 	}
 }
 
-func (g *group) apply(m *member, e raft.Entry) {
+// apply applies a committed entry and ends the operation that proposed it.
+func (g *cluster) apply(m *replica, e raft.Entry) {
 	if e.Type != raft.EntryData || len(e.Data) == 0 {
 		return
 	}
@@ -181,36 +193,41 @@
 		panic(err)
 	}
 	r := m.store.Apply(c)
-	if p, ok := m.wait[e.Index]; ok {
-		delete(m.wait, e.Index)
+	if p, ok := m.proposals[e.Index]; ok {
+		delete(m.proposals, e.Index)
 		if p.term == e.Term {
-			g.end(p.op, answer{version: r.Version, code: r.Code})
+			g.recordReturn(p.op, response{version: r.Version, code: r.Code})
 		}
 	}
 }
 
-func (g *group) answerReads(m *member) {
-	kept := m.held[:0]
-	for _, r := range m.held {
+// answerReads ends the reads whose index the replica has applied.
+func (g *cluster) answerReads(m *replica) {
+	kept := m.unansweredReads[:0]
+	for _, r := range m.unansweredReads {
 		if r.OK && r.Index > m.core.Applied() {
 			kept = append(kept, r)
 			continue
 		}
 		if r.OK {
-			g.end(m.reads[r.ID], answer{version: m.store.Version()})
+			g.recordReturn(m.reads[r.ID], response{version: m.store.Version()})
 		}
 		delete(m.reads, r.ID)
 	}
-	m.held = kept
+	m.unansweredReads = kept
 }
 
-func (g *group) step(t *rapid.T) {
-	m := g.members[rapid.IntRange(0, 2).Draw(t, "member")]
+// specStep makes one random move: ticks, deliveries, a change of connectivity, a
+// proposeChange of the settings or a read.
+// step makes one random move: ticks, deliveries, a change of connectivity, a
+// change of the settings or a read.
+func (g *cluster) step(t *rapid.T) {
+	m := g.replicas[rapid.IntRange(0, 2).Draw(t, "member")]
 	switch rapid.IntRange(0, 9).Draw(t, "what") {
 	case 0, 1:
 		for range rapid.IntRange(1, 12).Draw(t, "ticks") {
 			m.core.Tick()
-			g.work(m)
+			g.processReady(m)
 		}
 	case 2, 3, 4, 5:
 		for range 6 {
@@ -218,35 +235,38 @@
 		}
 	case 6:
 		key := fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "from"), rapid.IntRange(0, 2).Draw(t, "to"))
-		g.cut[key] = !g.cut[key]
+		g.blocked[key] = !g.blocked[key]
 	case 7, 8:
-		g.change(t, m)
+		g.proposeChange(t, m)
 	case 9:
-		g.read(m)
+		g.startRead(m)
 	}
 }
 
-func (g *group) deliver(t *rapid.T) {
-	if len(g.net) == 0 {
+// deliver delivers a random message in flight, or drops it on a blocked link.
+// Sometimes it also stays in flight and may arrive again.
+func (g *cluster) deliver(t *rapid.T) {
+	if len(g.inFlight) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(g.net)-1).Draw(t, "message")
-	msg := g.net[i]
+	i := rapid.IntRange(0, len(g.inFlight)-1).Draw(t, "message")
+	msg := g.inFlight[i]
 	if rapid.IntRange(0, 9).Draw(t, "doubled") > 0 {
-		g.net[i] = g.net[len(g.net)-1]
-		g.net = g.net[:len(g.net)-1]
+		g.inFlight[i] = g.inFlight[len(g.inFlight)-1]
+		g.inFlight = g.inFlight[:len(g.inFlight)-1]
 	}
-	if g.cut[msg.From+" "+msg.To] {
+	if g.blocked[msg.From+" "+msg.To] {
 		return
 	}
-	to := g.members[msg.To[0]-'0']
+	to := g.replicas[msg.To[0]-'0']
 	to.core.Step(msg)
-	g.work(to)
+	g.processReady(to)
 }
 
-// change proposes a change, sometimes one whose answer was lost, again.
-func (g *group) change(t *rapid.T, m *member) {
-	if m.core.Role() != raft.Leader || len(g.open) > 12 {
+// proposeChange proposes a change on the leader, sometimes with an id used
+// before or an outdated base.
+func (g *cluster) proposeChange(t *rapid.T, m *replica) {
+	if m.core.Role() != raft.Leader || len(g.openOps) > 12 {
 		return
 	}
 	id := fmt.Sprintf("c%d", rapid.IntRange(0, 20).Draw(t, "id"))
@@ -259,40 +279,43 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	opID := g.begin(1, op{id, base})
+	opID := g.recordCall(1, operation{id, base})
 	index, term, err := m.core.Propose(data)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.wait[index] = pending{term, opID}
-	g.work(m)
+	m.proposals[index] = proposal{term, opID}
+	g.processReady(m)
 }
 
-func (g *group) read(m *member) {
-	if len(g.open) > 12 {
+// startRead starts a read at a replica.
+func (g *cluster) startRead(m *replica) {
+	if len(g.openOps) > 12 {
 		return
 	}
-	opID := g.begin(2, op{})
+	opID := g.recordCall(2, operation{})
 	if g.staleReads {
-		g.end(opID, answer{version: m.store.Version()})
+		g.recordReturn(opID, response{version: m.store.Version()})
 		return
 	}
 	g.readID++
 	m.reads[g.readID] = opID
 	m.core.ReadIndex(g.readID)
-	g.work(m)
+	g.processReady(m)
 }
 
-// history closes what is still open as lost and returns all events.
-func (g *group) history() []porcupine.Event {
-	for id := range g.open {
-		g.end(id, answer{lost: true})
+// history ends open operations as lost and returns all events.
+func (g *cluster) history() []porcupine.Event {
+	for id := range g.openOps {
+		g.recordReturn(id, response{lost: true})
 	}
 	return g.events
 }
 
-func check(t *rapid.T, stale bool) porcupine.CheckResult {
-	g := newGroup(rapid.Uint64().Draw(t, "seed"))
+// checkHistory runs a random simulation and checks that its history is
+// linearizable.
+func checkHistory(t *rapid.T, stale bool) porcupine.CheckResult {
+	g := newCluster(rapid.Uint64().Draw(t, "seed"))
 	g.staleReads = stale
 	g.elect()
 	for range rapid.IntRange(60, 260).Draw(t, "steps") {
@@ -301,25 +324,24 @@
 	return porcupine.CheckEventsTimeout(model, g.history(), 5*time.Second)
 }
 
-// TestHistoriesAreLinearizable checks the histories of operators who race and
-// resend against one register: one winner per version, first results for
-// resends, and reads that are never behind.
+// TestHistoriesAreLinearizable checks for one winner per version, the first
+// result on resends, and reads that are never stale.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if check(t, false) == porcupine.Illegal {
+		if checkHistory(t, false) == porcupine.Illegal {
 			t.Fatal("the history is not linearizable")
 		}
 	})
 }
 
-// TestReadsWithoutQuorumAreFound shows that the check finds replicas that
-// answer reads from what they have.
-func TestReadsWithoutQuorumAreFound(t *testing.T) {
+// TestModelDetectsReadsWithoutQuorum checks that reads without a quorum give
+// histories that the check rejects.
+func TestModelDetectsReadsWithoutQuorum(t *testing.T) {
 	found := false
 	rapid.Check(t, func(t *rapid.T) {
-		found = found || check(t, true) == porcupine.Illegal
+		found = found || checkHistory(t, true) == porcupine.Illegal
 	})
 	if !found {
-		t.Fatal("no check failed")
+		t.Fatal("no history with stale reads was rejected")
 	}
 }
