--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -113,7 +113,7 @@
 }
 
 // Traits are what Do needs to know of a request beside what it sends.
-type Traits struct {
+type RequestTraits struct {
 	// Kind tells which requests take alike long, below MaxKinds.
 	Kind uint8
 	// Idempotent tells whether the request may run more than once.
@@ -125,7 +125,7 @@
 //
 // mine tells whether an answer belongs to the request, nil if all do; one that does not is read and passed over,
 // as a server may send an answer too many on a connection that is used again.
-func (c *Client) Do(s *scope.Scope, t Traits, req *http.Request, mine func(*http.Response) bool) (*Response, error) {
+func (c *Client) Do(s *scope.Scope, t RequestTraits, req *http.Request, mine func(*http.Response) bool) (*Response, error) {
 	cn, err := c.get(s)
 	if err != nil {
 		return nil, err
@@ -144,7 +144,7 @@
 	return &Response{Response: resp, c: c, conn: cn, s: s}, nil
 }
 
-func (c *Client) exchange(s *scope.Scope, cn *conn, t Traits, req *http.Request, mine func(*http.Response) bool) (*http.Response, error) {
+func (c *Client) exchange(s *scope.Scope, cn *conn, t RequestTraits, req *http.Request, mine func(*http.Response) bool) (*http.Response, error) {
 	_ = cn.SetDeadline(s.Deadline())
 	if err := req.Write(cn.bw); err != nil {
 		return nil, c.explain(s, err, "sending to")
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -31,7 +31,7 @@
 }
 
 func get(c *Client, path string, limit time.Duration) (string, *fault.Error) {
-	resp, err := c.Do(scope.New(time.Now().Add(limit)), Traits{Kind: 1, Idempotent: true}, request(path, []byte("in")), nil)
+	resp, err := c.Do(scope.New(time.Now().Add(limit)), RequestTraits{Kind: 1, Idempotent: true}, request(path, []byte("in")), nil)
 	if err != nil {
 		return "", fault.From(err)
 	}
@@ -109,7 +109,7 @@
 		echo(w, r)
 	})
 	c := New(addr, options())
-	once := Traits{Kind: 1}
+	once := RequestTraits{Kind: 1}
 	send := func(path string) *fault.Error {
 		resp, err := c.Do(scope.New(time.Now().Add(5*time.Second)), once, request(path, []byte("in")), nil)
 		if err != nil {
@@ -172,7 +172,7 @@
 	for range 3 {
 		req := request("/a", nil)
 		req.Method = http.MethodHead
-		resp, err := c.Do(scope.New(time.Now().Add(time.Second)), Traits{Kind: 1, Idempotent: true}, req, nil)
+		resp, err := c.Do(scope.New(time.Now().Add(time.Second)), RequestTraits{Kind: 1, Idempotent: true}, req, nil)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		b, err := io.ReadAll(resp)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/internal/backend/foreign_test.go
+++ b/internal/backend/foreign_test.go
@@ -60,7 +60,7 @@
 		id := fmt.Sprintf("r%d", i)
 		req := request("/x", []byte("in"))
 		req.Header.Set("Id", id)
-		resp, err := c.Do(scope.New(time.Now().Add(2*time.Second)), Traits{Kind: 1, Idempotent: true}, req, func(r *http.Response) bool { return r.Header.Get("Id") == id })
+		resp, err := c.Do(scope.New(time.Now().Add(2*time.Second)), RequestTraits{Kind: 1, Idempotent: true}, req, func(r *http.Response) bool { return r.Header.Get("Id") == id })
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		b, err := io.ReadAll(resp)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -75,7 +75,7 @@
 	c := New(answerTwice(t), options())
 	defer c.Close()
 	req := request("/x", nil)
-	_, err := c.Do(scope.New(time.Now().Add(300*time.Millisecond)), Traits{Kind: 1, Idempotent: true}, req, func(*http.Response) bool { return false })
+	_, err := c.Do(scope.New(time.Now().Add(300*time.Millisecond)), RequestTraits{Kind: 1, Idempotent: true}, req, func(*http.Response) bool { return false })
 	e := fault.From(err)
 	g.Expect(e.Run).To(gomega.Equal(fault.RunUnknown))
 }
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -79,7 +79,7 @@
 	started := time.Now()
 	p.happen(requestSend)
 	req, mine := n.requestFor(be, c, w, pool)
-	resp, err := be.client.Do(w.scope, backend.Traits{Kind: kind, Idempotent: c.policy.Idempotent}, req, mine.check)
+	resp, err := be.client.Do(w.scope, backend.RequestTraits{Kind: kind, Idempotent: c.policy.Idempotent}, req, mine.check)
 	if err == nil && mine.judged.NotRun != fault.None {
 		return nil, n.rejected(be, c, w, &p, resp, mine.judged.NotRun)
 	}
