--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -34,7 +34,7 @@
 	// Quiet is how long a backend server may take to answer before the
 	// connection is checked, by asking the server for its health on a new
 	// connection: see Client.Do.
-	Quiet time.Duration
+	ProbeInterval time.Duration
 }
 
 // Client sends requests to one backend server. It is safe for concurrent use.
@@ -209,7 +209,7 @@
 func (c *Client) awaitFirstByte(s *scope.Scope, cn *conn, t *firstByte, idempotent bool) error {
 	start := time.Now()
 	for {
-		wait := time.Now().Add(c.opt.Quiet)
+		wait := time.Now().Add(c.opt.ProbeInterval)
 		last := !wait.Before(s.Deadline())
 		if last {
 			wait = s.Deadline()
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -19,7 +19,7 @@
 )
 
 func options() Options {
-	return Options{MaxConns: 4, IdleMax: 10 * time.Second, DialTimeout: 200 * time.Millisecond, Quiet: 100 * time.Millisecond}
+	return Options{MaxConns: 4, IdleMax: 10 * time.Second, DialTimeout: 200 * time.Millisecond, ProbeInterval: 100 * time.Millisecond}
 }
 
 func request(path string, body []byte) *http.Request {
--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -138,7 +138,7 @@
 		next.client = old.client
 	} else {
 		next.client = backend.New(a.Address, backend.Options{
-			MaxConns: a.Connections, IdleMax: backendIdleMax, DialTimeout: backendDialTimeout, Quiet: backendQuiet,
+			MaxConns: a.Connections, IdleMax: backendIdleMax, DialTimeout: backendDialTimeout, ProbeInterval: backendQuiet,
 		})
 	}
 	n.local.Store(next)
