--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -94,7 +94,7 @@
 }
 
 // Whole tells whether the answer was read to its end.
-func (r *Response) Whole() bool { return r.eof || r.ContentLength == 0 }
+func (r *Response) IsComplete() bool { return r.eof || r.ContentLength == 0 }
 
 // Close frees the connection, or discards it if the body was not read whole.
 func (r *Response) Close() {
@@ -102,7 +102,7 @@
 		return
 	}
 	r.s.Unbind()
-	if r.Whole() && !r.Response.Close && r.s.Err() == fault.None {
+	if r.IsComplete() && !r.Response.Close && r.s.Err() == fault.None {
 		_ = r.conn.SetDeadline(time.Time{})
 		r.conn.keep = keepAlive(r.Header.Get("Keep-Alive"))
 		r.c.put(r.conn)
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -119,7 +119,7 @@
 		a.header = append(a.header, wireField{Name: HeaderRun, Value: fault.RunUnknown.String()})
 	}
 	a.close = func() {
-		if resp.Whole() {
+		if resp.IsComplete() {
 			n.quarantine.answered(c)
 		} else if c.scope.Err() == fault.None {
 			n.quarantine.broke(be.start, c)
