--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -358,7 +358,7 @@
 
 // Abandon closes all connections, those in use too: their requests end with an
 // error that says that they may have run. No request is sent from then on.
-func (c *Client) Abandon() {
+func (c *Client) Abort() {
 	c.mu.Lock()
 	c.abandoned = true
 	made := make([]*conn, 0, len(c.made))
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -252,7 +252,7 @@
 	c := New(strings.TrimPrefix(s.URL, "http://"), options())
 	_, err := get(c, "/", time.Second)
 	g.Expect(err).To(gomega.BeNil())
-	c.Abandon()
+	c.Abort()
 	_, err = get(c, "/", time.Second)
 	g.Expect(err).NotTo(gomega.BeNil())
 	g.Expect(err.Code).To(gomega.Equal(fault.BackendLost))
@@ -280,7 +280,7 @@
 			}()
 		}
 		time.Sleep(time.Duration(round*20) * time.Microsecond)
-		c.Abandon()
+		c.Abort()
 		for range requests {
 			g.Eventually(ended, time.Second).Should(gomega.Receive())
 		}
--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -162,7 +162,7 @@
 // instead of waiting for answers.
 func endEarlier(old *local, a *Announcement) {
 	if old.client.Addr() == a.Address {
-		old.client.Abandon()
+		old.client.Abort()
 		return
 	}
 	old.client.Close()
