--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -372,7 +372,7 @@
 }
 
 // Close closes the idle connections.
-func (c *Client) Close() {
+func (c *Client) CloseIdleConnections() {
 	c.mu.Lock()
 	idle := c.idle
 	c.idle = nil
--- a/internal/backend/foreign_test.go
+++ b/internal/backend/foreign_test.go
@@ -55,7 +55,7 @@
 func TestAnswerTooManyIsPassedOver(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := New(answerTwice(t), options())
-	defer c.Close()
+	defer c.CloseIdleConnections()
 	for i := range 5 {
 		id := fmt.Sprintf("r%d", i)
 		req := request("/x", []byte("in"))
@@ -73,7 +73,7 @@
 func TestForeignAnswersAreNeverDelivered(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := New(answerTwice(t), options())
-	defer c.Close()
+	defer c.CloseIdleConnections()
 	req := request("/x", nil)
 	_, err := c.Do(scope.New(time.Now().Add(300*time.Millisecond)), RequestTraits{Kind: 1, Idempotent: true}, req, func(*http.Response) bool { return false })
 	e := fault.From(err)
@@ -107,7 +107,7 @@
 		w.Header().Set("Keep-Alive", "timeout=1")
 	})
 	c := New(direct, options())
-	defer c.Close()
+	defer c.CloseIdleConnections()
 	for range 2 {
 		_, err := get(c, "/x", time.Second)
 		g.Expect(err).To(gomega.BeNil())
--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -165,7 +165,7 @@
 		old.client.Abort()
 		return
 	}
-	old.client.Close()
+	old.client.CloseIdleConnections()
 }
 
 // outdated tells whether an announcement came late: a newer one of the same
@@ -254,7 +254,7 @@
 	if old == nil {
 		return
 	}
-	old.client.Close()
+	old.client.CloseIdleConnections()
 	n.publishMeta()
 	n.event("backend", old.service+" is gone: "+why)
 }
