--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -1,8 +1,8 @@
-// Package backend speaks HTTP/1.1 to the backend server beside a node.
+// Package backend is an HTTP/1.1 client for the backend server beside a node.
 //
-// Like package wire it keeps a request on its own goroutine: net/http's
-// message codecs are used, but not its Transport, whose connections read and
-// write on goroutines of their own.
+// It uses the message codecs of net/http but not its Transport, which reads and
+// writes on goroutines of its own: here, as in package wire, a request stays on
+// the goroutine of its caller.
 package backend
 
 import (
@@ -23,17 +23,16 @@
 	"github.com/umberthread/umberthread/internal/sock"
 )
 
-// Options are the settings of a Client.
+// Options configures a Client.
 type Options struct {
-	// MaxConns bounds the open connections, as the backend server declares.
+	// MaxConns bounds the open connections. The backend server declares it.
 	MaxConns int
-	// IdleMax is how long an idle connection is trusted.
+	// IdleMax is the longest time for which an idle connection is reused.
 	IdleMax time.Duration
 	// DialTimeout bounds the set-up of a connection.
 	DialTimeout time.Duration
-	// Quiet is how long a backend server may take to answer before the
-	// connection is checked, by asking the server for its health on a new
-	// connection: see Client.Do.
+	// ProbeInterval is the time without a response after which, and at which
+	// interval, the server is probed by opening a new connection.
 	ProbeInterval time.Duration
 }
 
@@ -42,40 +41,42 @@
 	addr string
 	opt  Options
 
-	mu   sync.Mutex
-	idle []*conn
-	open int
-	// made are the open connections, in use or idle.
-	made map[*conn]struct{}
-	// abandoned is set once no connection may be made or used any more.
-	abandoned bool
+	mu        sync.Mutex
+	idle      []*conn
+	openCount int
+	// conns holds the open connections, in use or idle.
+	conns map[*conn]struct{}
+	// aborted is set by Abort: no connection may be opened or used any more.
+	aborted bool
 
-	lost  atomic.Int64
-	times [MaxKinds]firstByte
+	lostConns      atomic.Int64
+	firstByteTimes [MaxKinds]latencyTracker
 }
 
+// conn is a connection to the backend server.
 type conn struct {
 	net.Conn
 	br      *bufio.Reader
 	bw      *bufio.Writer
 	lastUse time.Time
-	// keep is how long the server said that it keeps the connection idle, less
-	// a margin; 0 if it did not say.
-	keep time.Duration
+	// keepAliveTimeout is the idle timeout announced by the server, less a
+	// margin; 0 if there is none.
+	keepAliveTimeout time.Duration
 }
 
 // New returns a client of the backend server at addr.
 func New(addr string, o Options) *Client {
-	return &Client{addr: addr, opt: o, made: map[*conn]struct{}{}}
+	return &Client{addr: addr, opt: o, conns: map[*conn]struct{}{}}
 }
 
 // Addr returns the backend server's address.
 func (c *Client) Addr() string { return c.addr }
 
-// Lost returns how many connections broke or went silent in use.
-func (c *Client) Lost() int64 { return c.lost.Load() }
+// LostConnections returns the number of connections closed because of a failed
+// request.
+func (c *Client) LostConnections() int64 { return c.lostConns.Load() }
 
-// Response is an answer of the backend server. Close must be called.
+// Response is a response of the backend server. The caller must close it.
 type Response struct {
 	*http.Response
 	c    *Client
@@ -84,7 +85,7 @@
 	eof  bool
 }
 
-// Read reads the body and remembers whether it ended whole.
+// Read reads from the body.
 func (r *Response) Read(p []byte) (int, error) {
 	n, err := r.Body.Read(p)
 	if err == io.EOF {
@@ -93,10 +94,11 @@
 	return n, err
 }
 
-// Whole tells whether the answer was read to its end.
+// IsComplete reports whether the body was read to its end.
 func (r *Response) IsComplete() bool { return r.eof || r.ContentLength == 0 }
 
-// Close frees the connection, or discards it if the body was not read whole.
+// Close returns the connection to the idle ones, or closes it if the body was
+// not read to its end.
 func (r *Response) Close() {
 	if r.conn == nil {
 		return
@@ -104,117 +106,118 @@
 	r.s.Unbind()
 	if r.IsComplete() && !r.Response.Close && r.s.Err() == fault.None {
 		_ = r.conn.SetDeadline(time.Time{})
-		r.conn.keep = keepAlive(r.Header.Get("Keep-Alive"))
-		r.c.put(r.conn)
+		r.conn.keepAliveTimeout = parseKeepAlive(r.Header.Get("Keep-Alive"))
+		r.c.putIdle(r.conn)
 	} else {
 		r.c.discard(r.conn)
 	}
 	r.conn = nil
 }
 
-// Traits are what Do needs to know of a request beside what it sends.
+// RequestTraits holds properties of a request that are not part of its message.
 type RequestTraits struct {
-	// Kind tells which requests take alike long, below MaxKinds.
+	// Kind groups requests by expected response time. Values are taken modulo
+	// MaxKinds.
 	Kind uint8
-	// Idempotent tells whether the request may run more than once.
+	// Idempotent reports whether the request may be executed more than once.
 	Idempotent bool
 }
 
-// Do sends a request and reads the head of the answer. The error's Run is
-// RunNo only if the request cannot have reached the server whole.
+// Do sends a request and reads the head of the response. An error has RunNo
+// only if the request cannot have reached the server whole.
 //
-// mine tells whether an answer belongs to the request, nil if all do; one that does not is read and passed over,
-// as a server may send an answer too many on a connection that is used again.
-func (c *Client) Do(s *scope.Scope, t RequestTraits, req *http.Request, mine func(*http.Response) bool) (*Response, error) {
-	cn, err := c.get(s)
+// matches reports whether a response belongs to the request; nil accepts any.
+// Other responses are read and discarded, as a faulty server may send a
+// duplicate response on a reused connection.
+func (c *Client) Do(s *scope.Scope, t RequestTraits, req *http.Request, matches func(*http.Response) bool) (*Response, error) {
+	cn, err := c.acquire(s)
 	if err != nil {
 		return nil, err
 	}
 	if !s.Bind(cn.Conn) {
-		c.put(cn)
+		c.putIdle(cn)
 		return nil, fault.New(s.Err(), "given up before it was sent")
 	}
-	resp, err := c.exchange(s, cn, t, req, mine)
+	resp, err := c.roundTrip(s, cn, t, req, matches)
 	if err != nil {
 		s.Unbind()
-		c.lost.Add(1)
+		c.lostConns.Add(1)
 		c.discard(cn)
 		return nil, err
 	}
 	return &Response{Response: resp, c: c, conn: cn, s: s}, nil
 }
 
-func (c *Client) exchange(s *scope.Scope, cn *conn, t RequestTraits, req *http.Request, mine func(*http.Response) bool) (*http.Response, error) {
+// roundTrip sends a request on a connection and reads the head of the matching
+// response.
+func (c *Client) roundTrip(s *scope.Scope, cn *conn, t RequestTraits, req *http.Request, matches func(*http.Response) bool) (*http.Response, error) {
 	_ = cn.SetDeadline(s.Deadline())
 	if err := req.Write(cn.bw); err != nil {
-		return nil, c.explain(s, err, "sending to")
+		return nil, c.wrapError(s, err, "sending to")
 	}
 	if err := cn.bw.Flush(); err != nil {
-		return nil, c.explain(s, err, "sending to")
+		return nil, c.wrapError(s, err, "sending to")
 	}
 	if s.Err() != fault.None {
 		return nil, fault.New(s.Err(), "given up while waiting").Unknown()
 	}
 	sent := time.Now()
-	times := &c.times[t.Kind%MaxKinds]
+	times := &c.firstByteTimes[t.Kind%MaxKinds]
 	if err := c.awaitFirstByte(s, cn, times, t.Idempotent); err != nil {
 		return nil, err
 	}
-	times.observe(time.Since(sent))
-	for foreign := 0; ; {
+	times.record(time.Since(sent))
+	for mismatched := 0; ; {
 		resp, err := http.ReadResponse(cn.br, req)
 		if err != nil {
-			return nil, c.explain(s, err, "reading from")
+			return nil, c.wrapError(s, err, "reading from")
 		}
 		if resp.StatusCode < http.StatusOK {
-			// Interim answers (1xx) come before the answer.
+			// Skip interim (1xx) responses.
 			continue
 		}
-		if mine == nil || mine(resp) {
+		if matches == nil || matches(resp) {
 			return resp, nil
 		}
-		if foreign++; foreign > maxForeign || !passOver(resp) {
-			return nil, fault.New(fault.Protocol, "the answer belongs to another request").Unknown()
+		if mismatched++; mismatched > maxMismatchedResponses || !discardMismatched(resp) {
+			return nil, fault.New(fault.Protocol, "the response belongs to another request").Unknown()
 		}
 	}
 }
 
 const (
-	// maxForeign is how many answers that belong to other requests are passed
-	// over: a server that sends one too many does so once a request.
-	maxForeign = 2
-	// maxForeignBody bounds the body of such an answer, in bytes.
-	maxForeignBody = 1 << 20
+	// maxMismatchedResponses is the number of responses to other requests that
+	// are discarded per request.
+	maxMismatchedResponses = 2
+	// maxMismatchedBodyBytes bounds the body of such a response.
+	maxMismatchedBodyBytes = 1 << 20
 )
 
-// passOver reads the body of an answer that belongs to another request; false
-// if the connection cannot be read on after it.
-func passOver(resp *http.Response) bool {
-	if resp.Close || resp.ContentLength > maxForeignBody {
+// discardMismatched reads the body of a response to another request. It reports
+// whether the connection can still be used.
+func discardMismatched(resp *http.Response) bool {
+	if resp.Close || resp.ContentLength > maxMismatchedBodyBytes {
 		return false
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxForeignBody))
-	return err == nil && n < maxForeignBody
+	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxMismatchedBodyBytes))
+	return err == nil && n < maxMismatchedBodyBytes
 }
 
-// awaitFirstByte waits for the answer to begin. HTTP/1.1 has no heartbeat, so
-// a connection that something on the way has lost track of looks like a slow
-// answer. It counts as silent when the answer takes several times longer than
-// the slowest recent one of its kind; the server counts as lost when it no
-// longer takes new connections either.
-//
-// Only an idempotent request is given up as silent: it can be sent again. Of another one
-// the server may be at work for longer than is usual, and to end it would lose what
-// can't be asked for again.
-func (c *Client) awaitFirstByte(s *scope.Scope, cn *conn, t *firstByte, idempotent bool) error {
+// awaitFirstByte waits for the response to begin. HTTP/1.1 has no heartbeat, so
+// a connection that was dropped without a reset looks like a slow response.
+// Every ProbeInterval it fails with BackendLost if the server accepts no new
+// connection, and with PeerSilent if an idempotent request has waited several
+// times longer than the slowest recent one of its kind. A request that isn't
+// idempotent can't be sent again, so it waits until its deadline.
+func (c *Client) awaitFirstByte(s *scope.Scope, cn *conn, t *latencyTracker, idempotent bool) error {
 	start := time.Now()
 	for {
-		wait := time.Now().Add(c.opt.ProbeInterval)
-		last := !wait.Before(s.Deadline())
-		if last {
-			wait = s.Deadline()
+		pollDeadline := time.Now().Add(c.opt.ProbeInterval)
+		final := !pollDeadline.Before(s.Deadline())
+		if final {
+			pollDeadline = s.Deadline()
 		}
-		_ = cn.SetReadDeadline(wait)
+		_ = cn.SetReadDeadline(pollDeadline)
 		if s.Err() != fault.None {
 			return fault.New(s.Err(), "given up while waiting").Unknown()
 		}
@@ -223,19 +226,19 @@
 			_ = cn.SetReadDeadline(s.Deadline())
 			return nil
 		}
-		if last || s.Err() != fault.None || !errors.Is(err, os.ErrDeadlineExceeded) {
-			return c.explain(s, err, "reading from")
+		if final || s.Err() != fault.None || !errors.Is(err, os.ErrDeadlineExceeded) {
+			return c.wrapError(s, err, "reading from")
 		}
 		if !c.Reachable() {
 			return fault.New(fault.BackendLost, "the backend server no longer takes connections").Unknown()
 		}
-		if idempotent && t.silent(time.Since(start)) {
-			return fault.New(fault.PeerSilent, "no answer on this connection long after others were answered").Unknown()
+		if idempotent && t.isSilent(time.Since(start)) {
+			return fault.New(fault.PeerSilent, "no response on this connection for far longer than recent requests took").Unknown()
 		}
 	}
 }
 
-// Reachable tells whether the server takes a new connection.
+// Reachable reports whether the server accepts a new connection.
 func (c *Client) Reachable() bool {
 	probe, err := net.DialTimeout("tcp", c.addr, c.opt.DialTimeout)
 	if err != nil {
@@ -245,21 +248,23 @@
 	return true
 }
 
-func (c *Client) explain(s *scope.Scope, err error, doing string) *fault.Error {
+// wrapError returns the error of a request that may have been executed: the end
+// of its scope if that is the cause, or BackendLost.
+func (c *Client) wrapError(s *scope.Scope, err error, action string) *fault.Error {
 	if code := s.Err(); code != fault.None {
 		return fault.New(code, "given up while waiting for the backend server").Unknown()
 	}
-	return fault.Wrap(fault.BackendLost, err, doing+" the backend server").Unknown()
+	return fault.Wrap(fault.BackendLost, err, action+" the backend server").Unknown()
 }
 
-// get returns an open idle connection or a new one. The declared number of
-// connections is never exceeded.
-func (c *Client) get(s *scope.Scope) (*conn, error) {
+// acquire returns an idle connection or a new one. It fails with Overload if
+// MaxConns connections are in use.
+func (c *Client) acquire(s *scope.Scope) (*conn, error) {
 	now := time.Now()
 	for {
-		cn, dial, gone := c.pop()
-		if gone {
-			return nil, errAbandoned()
+		cn, dial, aborted := c.popIdle()
+		if aborted {
+			return nil, errAborted()
 		}
 		if cn == nil && !dial {
 			return nil, fault.New(fault.Overload, "all declared connections to the backend server are in use")
@@ -267,42 +272,46 @@
 		if dial {
 			return c.dial(s)
 		}
-		if now.Sub(cn.lastUse) < cn.trusted(c.opt.IdleMax) && cn.br.Buffered() == 0 && sock.Quiet(cn.Conn) {
+		if now.Sub(cn.lastUse) < cn.idleLimit(c.opt.IdleMax) && cn.br.Buffered() == 0 && sock.Quiet(cn.Conn) {
 			return cn, nil
 		}
 		c.discard(cn)
 	}
 }
 
-// keepShare is the part of the time that the server named for which an idle
-// connection is trusted: a request must not cross the server's close.
-const keepShare = 0.8
+// keepAliveFraction is the fraction of the server's idle timeout for which a
+// connection is reused, so that a request doesn't race with the server's close.
+const keepAliveFraction = 0.8
 
-// keepAlive reads the time-out of a Keep-Alive field, in whole seconds.
-func keepAlive(field string) time.Duration {
+// parseKeepAlive returns keepAliveFraction of the timeout in a Keep-Alive header,
+// or 0 if there is none.
+func parseKeepAlive(field string) time.Duration {
 	for part := range strings.SplitSeq(field, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		seconds, err := strconv.Atoi(value)
 		if strings.EqualFold(name, "timeout") && err == nil && seconds > 0 {
-			return time.Duration(keepShare * float64(seconds) * float64(time.Second))
+			return time.Duration(keepAliveFraction * float64(seconds) * float64(time.Second))
 		}
 	}
 	return 0
 }
 
-// trusted is how long the connection may have been idle to be used again.
-func (cn *conn) trusted(most time.Duration) time.Duration {
-	if cn.keep > 0 {
-		return min(most, cn.keep)
+// idleLimit returns how long the connection may be idle and still be reused, at
+// most limit.
+func (cn *conn) idleLimit(limit time.Duration) time.Duration {
+	if cn.keepAliveTimeout > 0 {
+		return min(limit, cn.keepAliveTimeout)
 	}
-	return most
+	return limit
 }
 
-// pop returns an idle connection, or tells to dial one, or that the client was abandoned.
-func (c *Client) pop() (cn *conn, dial, gone bool) {
+// popIdle returns an idle connection if there is one. Otherwise dial reports
+// whether the caller may dial one, and has reserved it, and aborted whether the
+// client was aborted.
+func (c *Client) popIdle() (cn *conn, dial, aborted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.abandoned {
+	if c.aborted {
 		return nil, false, true
 	}
 	if n := len(c.idle); n > 0 {
@@ -310,75 +319,79 @@
 		c.idle = c.idle[:n-1]
 		return cn, false, false
 	}
-	if c.open >= c.opt.MaxConns {
+	if c.openCount >= c.opt.MaxConns {
 		return nil, false, false
 	}
-	c.open++
+	c.openCount++
 	return nil, true, false
 }
 
-func errAbandoned() *fault.Error {
-	return fault.New(fault.BackendLost, "this start of the backend server was given up")
+// errAborted returns the error of a request that is not sent because of Abort.
+func errAborted() *fault.Error {
+	return fault.New(fault.BackendLost, "the connections to this run of the backend server were aborted")
 }
 
+// dial opens the connection that popIdle has reserved.
 func (c *Client) dial(s *scope.Scope) (*conn, error) {
 	raw, err := net.DialTimeout("tcp", c.addr, min(c.opt.DialTimeout, max(s.Remaining(), time.Millisecond)))
 	if err != nil {
 		c.mu.Lock()
-		c.open--
+		c.openCount--
 		c.mu.Unlock()
 		return nil, fault.Wrap(fault.BackendLost, err, "cannot connect to the backend server")
 	}
 	cn := &conn{Conn: raw, br: bufio.NewReader(raw), bw: bufio.NewWriter(raw)}
 	c.mu.Lock()
-	abandoned := c.abandoned
-	c.made[cn] = struct{}{}
+	aborted := c.aborted
+	c.conns[cn] = struct{}{}
 	c.mu.Unlock()
-	if abandoned {
+	if aborted {
 		c.discard(cn)
-		return nil, errAbandoned()
+		return nil, errAborted()
 	}
 	return cn, nil
 }
 
-func (c *Client) put(cn *conn) {
+// putIdle makes a connection available for reuse.
+func (c *Client) putIdle(cn *conn) {
 	cn.lastUse = time.Now()
 	c.mu.Lock()
 	c.idle = append(c.idle, cn)
 	c.mu.Unlock()
 }
 
+// discard closes a connection.
 func (c *Client) discard(cn *conn) {
 	_ = cn.Close()
 	c.mu.Lock()
-	c.open--
-	delete(c.made, cn)
+	c.openCount--
+	delete(c.conns, cn)
 	c.mu.Unlock()
 }
 
-// Abandon closes all connections, those in use too: their requests end with an
-// error that says that they may have run. No request is sent from then on.
+// Abort closes all connections, including those in use, whose requests fail
+// with RunUnknown. No request is sent afterwards.
 func (c *Client) Abort() {
 	c.mu.Lock()
-	c.abandoned = true
-	made := make([]*conn, 0, len(c.made))
-	for cn := range c.made {
-		made = append(made, cn)
+	c.aborted = true
+	conns := make([]*conn, 0, len(c.conns))
+	for cn := range c.conns {
+		conns = append(conns, cn)
 	}
 	c.mu.Unlock()
-	for _, cn := range made {
+	for _, cn := range conns {
 		_ = cn.Close()
 	}
 }
 
-// Close closes the idle connections.
+// CloseIdleConnections closes the connections that are not in use.
 func (c *Client) CloseIdleConnections() {
 	c.mu.Lock()
 	idle := c.idle
 	c.idle = nil
-	c.open -= len(idle)
+	c.openCount -= len(idle)
 	for _, cn := range idle {
-		delete(c.made, cn)
+		delete(c.conns, cn)
 	}
 	c.mu.Unlock()
 	for _, cn := range idle {
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -30,7 +30,8 @@
 	return r
 }
 
-func get(c *Client, path string, limit time.Duration) (string, *fault.Error) {
+// fetch sends an idempotent request and returns the body of the response.
+func fetch(c *Client, path string, limit time.Duration) (string, *fault.Error) {
 	resp, err := c.Do(scope.New(time.Now().Add(limit)), RequestTraits{Kind: 1, Idempotent: true}, request(path, []byte("in")), nil)
 	if err != nil {
 		return "", fault.From(err)
@@ -43,7 +44,8 @@
 	return string(b), nil
 }
 
-func listen(t *testing.T, h http.HandlerFunc) (direct, addr string, r *relay.Relay) {
+// startServer starts an HTTP server behind a relay and returns both addresses.
+func startServer(t *testing.T, h http.HandlerFunc) (direct, addr string, r *relay.Relay) {
 	t.Helper()
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
@@ -61,48 +63,47 @@
 	_, _ = w.Write(append([]byte(r.URL.Path+" "), b...))
 }
 
-// TestSilentConnectionToABackendServerIsFound: the open connection goes silent
-// for good while new ones work. It must not hold its request until the
-// deadline, and the next request must not meet it.
-func TestSilentConnectionToABackendServerIsFound(t *testing.T) {
+// TestSilentConnectionFailsRequest guards against a silent connection that
+// holds its request until the deadline, or that is reused.
+func TestSilentConnectionFailsRequest(t *testing.T) {
 	g := gomega.NewWithT(t)
-	_, addr, r := listen(t, echo)
+	_, addr, r := startServer(t, echo)
 	c := New(addr, options())
-	for range enoughSamples + 1 {
-		body, ferr := get(c, "/a", time.Second)
+	for range minSamples + 1 {
+		body, ferr := fetch(c, "/a", time.Second)
 		g.Expect(ferr).To(gomega.BeNil())
 		g.Expect(body).To(gomega.Equal("/a in"))
 	}
 	g.Expect(r.SilenceOpen()).To(gomega.Equal(1))
 	started := time.Now()
-	_, ferr := get(c, "/b", 10*time.Second)
+	_, ferr := fetch(c, "/b", 10*time.Second)
 	g.Expect(ferr).NotTo(gomega.BeNil())
 	g.Expect(ferr.Code).To(gomega.Equal(fault.PeerSilent))
 	g.Expect(ferr.Run).To(gomega.Equal(fault.RunUnknown))
 	g.Expect(time.Since(started)).To(gomega.BeNumerically("<", time.Second))
-	body, ferr := get(c, "/c", time.Second)
+	body, ferr := fetch(c, "/c", time.Second)
 	g.Expect(ferr).To(gomega.BeNil())
 	g.Expect(body).To(gomega.Equal("/c in"))
 }
 
-func TestSlowKindIsNotSilent(t *testing.T) {
+func TestSlowFirstRequestIsNotSilent(t *testing.T) {
 	g := gomega.NewWithT(t)
-	_, addr, _ := listen(t, func(w http.ResponseWriter, r *http.Request) {
+	_, addr, _ := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(300 * time.Millisecond)
 		echo(w, r)
 	})
 	c := New(addr, options())
-	body, ferr := get(c, "/a", 5*time.Second)
+	body, ferr := fetch(c, "/a", 5*time.Second)
 	g.Expect(ferr).To(gomega.BeNil())
 	g.Expect(body).To(gomega.Equal("/a in"))
 }
 
-// TestSlowWorkThatMayRunOnceIsNotCut: one request in many takes far longer than the
-// others of its kind. It can't be sent again, so it is waited for.
-func TestSlowWorkThatMayRunOnceIsNotCut(t *testing.T) {
+// TestSlowNonIdempotentRequestIsNotAborted checks that a request that can't be
+// sent again is waited for, however slow it is for its kind.
+func TestSlowNonIdempotentRequestIsNotAborted(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const slow = 600 * time.Millisecond
-	_, addr, _ := listen(t, func(w http.ResponseWriter, r *http.Request) {
+	_, addr, _ := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
 			time.Sleep(slow)
 		}
@@ -120,54 +121,54 @@
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		return nil
 	}
-	for range enoughSamples + 1 {
+	for range minSamples + 1 {
 		g.Expect(send("/fast")).To(gomega.BeNil())
 	}
 	g.Expect(send("/slow")).To(gomega.BeNil())
 }
 
-func TestConnectionsStayWithinTheDeclaredNumber(t *testing.T) {
+func TestMaxConnsIsNotExceeded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	hold := make(chan struct{})
-	direct, _, _ := listen(t, func(http.ResponseWriter, *http.Request) { <-hold })
+	direct, _, _ := startServer(t, func(http.ResponseWriter, *http.Request) { <-hold })
 	c := New(direct, options())
 	defer close(hold)
 	for range 4 {
-		go func() { _, _ = get(c, "/held", 5*time.Second) }()
+		go func() { _, _ = fetch(c, "/held", 5*time.Second) }()
 	}
-	g.Eventually(func() int { c.mu.Lock(); defer c.mu.Unlock(); return c.open }).Should(gomega.Equal(4))
-	_, ferr := get(c, "/more", time.Second)
+	g.Eventually(func() int { c.mu.Lock(); defer c.mu.Unlock(); return c.openCount }).Should(gomega.Equal(4))
+	_, ferr := fetch(c, "/more", time.Second)
 	g.Expect(ferr.Code).To(gomega.Equal(fault.Overload))
 	g.Expect(ferr.Run).To(gomega.Equal(fault.RunNo))
 }
 
-func TestCutOffAnswerIsAnError(t *testing.T) {
+func TestTruncatedResponseIsAnError(t *testing.T) {
 	g := gomega.NewWithT(t)
-	direct, _, _ := listen(t, func(w http.ResponseWriter, _ *http.Request) {
+	direct, _, _ := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		_, _ = w.Write([]byte("only a part"))
 		panic(http.ErrAbortHandler)
 	})
-	_, ferr := get(New(direct, options()), "/a", time.Second)
+	_, ferr := fetch(New(direct, options()), "/a", time.Second)
 	g.Expect(ferr).NotTo(gomega.BeNil())
 }
 
-// TestInterimAnswersAreNotTheAnswer: a backend server may send 1xx first.
-func TestInterimAnswersAreNotTheAnswer(t *testing.T) {
+// TestInterimResponsesAreSkipped covers a 1xx response before the final one.
+func TestInterimResponsesAreSkipped(t *testing.T) {
 	g := gomega.NewWithT(t)
-	direct, _, _ := listen(t, func(w http.ResponseWriter, r *http.Request) {
+	direct, _, _ := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Link", "</style.css>; rel=preload")
 		w.WriteHeader(http.StatusEarlyHints)
 		echo(w, r)
 	})
-	body, ferr := get(New(direct, options()), "/a", time.Second)
+	body, ferr := fetch(New(direct, options()), "/a", time.Second)
 	g.Expect(ferr).To(gomega.BeNil())
 	g.Expect(body).To(gomega.Equal("/a in"))
 }
 
-func TestHeadHasNoBody(t *testing.T) {
+func TestHeadResponseHasNoBody(t *testing.T) {
 	g := gomega.NewWithT(t)
-	direct, _, _ := listen(t, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Content-Length", "10") })
+	direct, _, _ := startServer(t, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Content-Length", "10") })
 	c := New(direct, options())
 	for range 3 {
 		req := request("/a", nil)
@@ -181,18 +182,17 @@
 	}
 }
 
-// TestAServerThatNeverAnswersWhatItCannotQueue: it works on two requests and
-// queues two; beyond them it never answers, nor anything after on that
-// connection. Slow work is answered; what hangs ends early, may have run, and
-// holds no connection afterwards.
-func TestAServerThatNeverAnswersWhatItCannotQueue(t *testing.T) {
+// TestServerThatHangsOnRequestsBeyondItsQueue covers a server that executes two
+// requests, queues two and never responds to others. Those must fail early with
+// RunUnknown and release their connections.
+func TestServerThatHangsOnRequestsBeyondItsQueue(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const slots, queue, sent = 2, 2, 8
 	const work = 40 * time.Millisecond
 	hang := make(chan struct{})
 	var held atomic.Int32
 	running := make(chan struct{}, slots)
-	_, addr, _ := listen(t, func(w http.ResponseWriter, r *http.Request) {
+	_, addr, _ := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if held.Add(1) > slots+queue {
 			held.Add(-1)
 			<-hang
@@ -208,15 +208,15 @@
 	o := options()
 	o.MaxConns = sent
 	c := New(addr, o)
-	for range enoughSamples + 1 {
-		_, ferr := get(c, "/a", time.Second)
+	for range minSamples + 1 {
+		_, ferr := fetch(c, "/a", time.Second)
 		g.Expect(ferr).To(gomega.BeNil())
 	}
 	started := time.Now()
 	failures := make(chan *fault.Error, sent)
 	for range sent {
 		go func() {
-			_, ferr := get(c, "/b", 20*time.Second)
+			_, ferr := fetch(c, "/b", 20*time.Second)
 			failures <- ferr
 		}()
 	}
@@ -234,14 +234,13 @@
 	g.Expect(time.Since(started)).To(gomega.BeNumerically("<", 5*time.Second))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	g.Expect(c.open).To(gomega.Equal(len(c.idle)), "connections that hung are gone")
-	g.Expect(c.made).To(gomega.HaveLen(c.open))
+	g.Expect(c.openCount).To(gomega.Equal(len(c.idle)), "connections without a response are closed")
+	g.Expect(c.conns).To(gomega.HaveLen(c.openCount))
 }
 
-// A backend server's start was given up while a request had its slot and no connection
-// yet. It dialled the address all the same, where another start stood by then, and waited
-// for an answer to its deadline.
-func TestNothingIsSentOnceAStartIsGivenUp(t *testing.T) {
+// TestNoRequestIsSentAfterAbort guards against a request that dials after Abort
+// and reaches a newer run of the backend server at the same address.
+func TestNoRequestIsSentAfterAbort(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var served atomic.Int32
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -250,18 +249,19 @@
 	}))
 	t.Cleanup(s.Close)
 	c := New(strings.TrimPrefix(s.URL, "http://"), options())
-	_, err := get(c, "/", time.Second)
+	_, err := fetch(c, "/", time.Second)
 	g.Expect(err).To(gomega.BeNil())
 	c.Abort()
-	_, err = get(c, "/", time.Second)
+	_, err = fetch(c, "/", time.Second)
 	g.Expect(err).NotTo(gomega.BeNil())
 	g.Expect(err.Code).To(gomega.Equal(fault.BackendLost))
 	g.Expect(err.Run).To(gomega.Equal(fault.RunNo))
 	g.Expect(served.Load()).To(gomega.BeEquivalentTo(1))
 }
 
-// Starts are given up while requests dial: none of the connections outlives that.
-func TestNoConnectionOutlivesAStartThatIsGivenUp(t *testing.T) {
+// TestAbortEndsRequestsThatAreDialling guards against a connection that is opened
+// during Abort and survives it.
+func TestAbortEndsRequestsThatAreDialling(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const requests = 16
 	hang := make(chan struct{})
@@ -275,7 +275,7 @@
 		ended := make(chan struct{}, requests)
 		for range requests {
 			go func() {
-				_, _ = get(c, "/", 5*time.Second)
+				_, _ = fetch(c, "/", 5*time.Second)
 				ended <- struct{}{}
 			}()
 		}
--- a/internal/backend/foreign_test.go
+++ b/internal/backend/foreign_test.go
@@ -16,9 +16,9 @@
 	"github.com/umberthread/umberthread/internal/scope"
 )
 
-// answerTwice is a faulty server that answers each request with the last
-// answer once more before the right one.
-func answerTwice(t *testing.T) string {
+// startDuplicatingServer starts a faulty server that repeats the previous
+// response before each response, and returns its address.
+func startDuplicatingServer(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -50,11 +50,11 @@
 	return ln.Addr().String()
 }
 
-// TestAnswerTooManyIsPassedOver: an answer that belongs to an earlier request
-// arrives where the next one's is due.
-func TestAnswerTooManyIsPassedOver(t *testing.T) {
+// TestDuplicateResponseIsSkipped covers a response to an earlier request that
+// arrives before the one to the current request.
+func TestDuplicateResponseIsSkipped(t *testing.T) {
 	g := gomega.NewWithT(t)
-	c := New(answerTwice(t), options())
+	c := New(startDuplicatingServer(t), options())
 	defer c.CloseIdleConnections()
 	for i := range 5 {
 		id := fmt.Sprintf("r%d", i)
@@ -69,10 +69,11 @@
 	}
 }
 
-// TestForeignAnswersAreNeverDelivered: nothing but answers of others.
-func TestForeignAnswersAreNeverDelivered(t *testing.T) {
+// TestMismatchedResponsesAreNotDelivered covers a server that sends only
+// responses to other requests.
+func TestMismatchedResponsesAreNotDelivered(t *testing.T) {
 	g := gomega.NewWithT(t)
-	c := New(answerTwice(t), options())
+	c := New(startDuplicatingServer(t), options())
 	defer c.CloseIdleConnections()
 	req := request("/x", nil)
 	_, err := c.Do(scope.New(time.Now().Add(300*time.Millisecond)), RequestTraits{Kind: 1, Idempotent: true}, req, func(*http.Response) bool { return false })
@@ -80,27 +81,27 @@
 	g.Expect(e.Run).To(gomega.Equal(fault.RunUnknown))
 }
 
-func TestKeepAliveBoundsTheTrustInAnIdleConnection(t *testing.T) {
+func TestKeepAliveTimeoutBoundsIdleTime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for field, want := range map[string]time.Duration{
 		"timeout=10": 8 * time.Second, "max=5, timeout=5": 4 * time.Second, "Timeout=1": 800 * time.Millisecond,
 		"": 0, "timeout=": 0, "timeout=-3": 0, "timeout=soon": 0,
 	} {
-		g.Expect(keepAlive(field)).To(gomega.Equal(want), field)
+		g.Expect(parseKeepAlive(field)).To(gomega.Equal(want), field)
 	}
-	cn := &conn{keep: 2 * time.Second}
-	g.Expect(cn.trusted(time.Second)).To(gomega.Equal(time.Second))
-	g.Expect(cn.trusted(time.Minute)).To(gomega.Equal(2 * time.Second))
-	g.Expect((&conn{}).trusted(time.Minute)).To(gomega.Equal(time.Minute))
+	cn := &conn{keepAliveTimeout: 2 * time.Second}
+	g.Expect(cn.idleLimit(time.Second)).To(gomega.Equal(time.Second))
+	g.Expect(cn.idleLimit(time.Minute)).To(gomega.Equal(2 * time.Second))
+	g.Expect((&conn{}).idleLimit(time.Minute)).To(gomega.Equal(time.Minute))
 }
 
-// TestConnectionPastItsKeepAliveIsNotUsedAgain: a server that names a second is
-// asked again after it on a new connection.
-func TestConnectionPastItsKeepAliveIsNotUsedAgain(t *testing.T) {
+// TestConnectionPastKeepAliveTimeoutIsNotReused guards against a request on a
+// connection that the server is about to close.
+func TestConnectionPastKeepAliveTimeoutIsNotReused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var mu sync.Mutex
 	remotes := map[string]bool{}
-	direct, _, _ := listen(t, func(w http.ResponseWriter, r *http.Request) {
+	direct, _, _ := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		remotes[r.RemoteAddr] = true
 		mu.Unlock()
@@ -109,13 +110,13 @@
 	c := New(direct, options())
 	defer c.CloseIdleConnections()
 	for range 2 {
-		_, err := get(c, "/x", time.Second)
+		_, err := fetch(c, "/x", time.Second)
 		g.Expect(err).To(gomega.BeNil())
 	}
 	c.mu.Lock()
 	c.idle[0].lastUse = time.Now().Add(-900 * time.Millisecond)
 	c.mu.Unlock()
-	_, err := get(c, "/x", time.Second)
+	_, err := fetch(c, "/x", time.Second)
 	g.Expect(err).To(gomega.BeNil())
 	mu.Lock()
 	defer mu.Unlock()
