--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -18,7 +18,7 @@
 )
 
 // Service is the name under which a node registers its methods.
-const Service = "Control"
+const ServiceName = "Control"
 
 // SyncRequest compares the records of two nodes of one failure domain.
 type SyncRequest struct {
@@ -229,7 +229,7 @@
 // be closed.
 func (p *Pool) callOn(c *pooled, addr, method string, args, reply any, timeout time.Duration) (closed bool, err error) {
 	defer p.release(c)
-	call := c.client.Go(Service+"."+method, args, reply, make(chan *rpc.Call, 1))
+	call := c.client.Go(ServiceName+"."+method, args, reply, make(chan *rpc.Call, 1))
 	t := time.NewTimer(timeout)
 	defer t.Stop()
 	select {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -31,7 +31,7 @@
 	g.Eventually(func() (err error) { ln, err = net.Listen("tcp", addr); return err }, 5*time.Second, time.Millisecond).Should(gomega.Succeed())
 	p := &process{ln: ln}
 	srv := rpc.NewServer()
-	g.Expect(srv.RegisterName(Service, echo{})).To(gomega.Succeed())
+	g.Expect(srv.RegisterName(ServiceName, echo{})).To(gomega.Succeed())
 	go func() {
 		for {
 			c, err := ln.Accept()
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -29,7 +29,7 @@
 func newControlServer(n *Node) *controlServer {
 	s := &controlServer{n: n, links: links.New(), rpc: rpc.NewServer(), conns: map[net.Conn]struct{}{}}
 	s.pool = control.NewPool(&s.counter, func(addr string, timeout time.Duration) (net.Conn, error) { return n.dial(addr, timeout) })
-	if err := s.rpc.RegisterName(control.Service, &controlAPI{n}); err != nil {
+	if err := s.rpc.RegisterName(control.ServiceName, &controlAPI{n}); err != nil {
 		// The methods are fixed at compile time.
 		panic(err)
 	}
