--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -150,12 +150,12 @@
 }
 
 // Counter counts the bytes of all control connections of a process.
-type Counter struct{ In, Out atomic.Int64 }
+type ByteCounter struct{ In, Out atomic.Int64 }
 
 // Counted is a connection whose bytes are counted.
 type Counted struct {
 	net.Conn
-	C *Counter
+	C *ByteCounter
 }
 
 // Read implements net.Conn.
@@ -179,7 +179,7 @@
 // Pool keeps a connection to each of the addresses called last. It is safe for
 // concurrent use.
 type Pool struct {
-	counter *Counter
+	counter *ByteCounter
 	dial    Dialer
 
 	mu    sync.Mutex
@@ -202,7 +202,7 @@
 }
 
 // NewPool returns an empty pool that counts its bytes on c.
-func NewPool(c *Counter, dial Dialer) *Pool {
+func NewPool(c *ByteCounter, dial Dialer) *Pool {
 	return &Pool{counter: c, dial: dial, conns: map[string]*pooled{}}
 }
 
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -63,7 +63,7 @@
 	g := gomega.NewWithT(t)
 	first := startProcess(g, "127.0.0.1:0")
 	addr := first.ln.Addr().String()
-	pool := NewPool(&Counter{}, DialTCP)
+	pool := NewPool(&ByteCounter{}, DialTCP)
 	defer pool.Close()
 	fetch := func(v uint64) (uint64, error) {
 		var reply FetchReply
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -16,7 +16,7 @@
 type controlServer struct {
 	n       *Node
 	pool    *control.Pool
-	counter control.Counter
+	counter control.ByteCounter
 	links   *links.State
 	askers  askers
 	rpc     *rpc.Server
