--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -153,20 +153,20 @@
 type ByteCounter struct{ In, Out atomic.Int64 }
 
 // Counted is a connection whose bytes are counted.
-type Counted struct {
+type CountingConn struct {
 	net.Conn
 	C *ByteCounter
 }
 
 // Read implements net.Conn.
-func (c Counted) Read(p []byte) (int, error) {
+func (c CountingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.C.In.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c Counted) Write(p []byte) (int, error) {
+func (c CountingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.C.Out.Add(int64(n))
 	return n, err
@@ -257,7 +257,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	fresh := &pooled{client: rpc.NewClient(Counted{conn, p.counter})}
+	fresh := &pooled{client: rpc.NewClient(CountingConn{conn, p.counter})}
 	c = p.take(addr, fresh)
 	if c != fresh {
 		_ = fresh.client.Close()
