--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -155,20 +155,20 @@
 // Counted is a connection whose bytes are counted.
 type CountingConn struct {
 	net.Conn
-	C *ByteCounter
+	Counter *ByteCounter
 }
 
 // Read implements net.Conn.
 func (c CountingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.C.In.Add(int64(n))
+	c.Counter.In.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c CountingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.C.Out.Add(int64(n))
+	c.Counter.Out.Add(int64(n))
 	return n, err
 }
 
