--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,5 +1,6 @@
-// Package control holds the messages that nodes exchange over net/rpc, and
-// the connections that carry them.
+// Package control defines the messages that nodes exchange over net/rpc, and a
+// pool of connections for them. net/rpc and gob use the names of methods and
+// message fields on the wire.
 package control
 
 import (
@@ -17,70 +18,76 @@
 	"github.com/umberthread/umberthread/settings"
 )
 
-// Service is the name under which a node registers its methods.
+// ServiceName is the name under which a node registers its RPC methods.
 const ServiceName = "Control"
 
-// SyncRequest compares the records of two nodes of one failure domain.
+// SyncRequest synchronises the gossip records of two nodes of one failure
+// domain.
 type SyncRequest struct {
-	// Addr is the control address of the node that asks.
+	// Addr is the control address of the sender.
 	Addr    string
 	Domain  string
 	Digest  gossip.Digest
 	Records []gossip.Record
-	Config  uint64
+	// Config is the sender's version of the settings.
+	Config uint64
 }
 
-// SyncReply brings what the asking node lacked.
+// SyncReply returns the records that the sender of the request lacks.
 type SyncReply struct {
 	Domain string
-	// Seeds are control addresses in the asking node's failure domain, from
-	// a node of another.
+	// Seeds holds control addresses in the requester's failure domain, if the
+	// responder belongs to another.
 	Seeds   []string
 	Digest  gossip.Digest
 	Records []gossip.Record
-	Config  uint64
-	// Held are the requests that the answering node refuses, for a node that has
+	// Config is the responder's version of the settings.
+	Config uint64
+	// Held lists the requests that the responder refuses, for a node that has
 	// just started.
 	Held []quarantine.Held
 }
 
-// FetchRequest asks for the settings after a version.
+// FetchRequest asks for the changes of the settings after version Since.
 type FetchRequest struct{ Since uint64 }
 
-// FetchReply brings changes, or all entries where too many are missing.
+// FetchReply returns the changes, or the full document if not all of them are
+// kept.
 type FetchReply struct {
 	Version uint64
 	Changes []confstore.Change
 	Full    settings.Entries
 }
 
-// ExchangeRequest is what the linking members of two failure domains tell
-// each other.
+// ExchangeRequest exchanges service summaries between link members of two
+// failure domains.
 type ExchangeRequest struct {
 	Domain string
-	// Control are the control addresses of the domain's linking members.
+	// Control holds the control addresses of the domain's link members.
 	Control []string
-	// Records are the summaries that changed since the last exchange.
+	// Records holds the summaries that changed since the last exchange.
 	Records []gossip.Record
-	Config  uint64
-	// Addr is the sender's control address, and ID its identity: a process
-	// that was restarted at the same address has been sent nothing yet.
+	// Config is the sender's version of the settings.
+	Config uint64
+	// Addr is the sender's control address. ID identifies its process: one that
+	// was restarted at the same address has no summaries yet.
 	Addr, ID string
-	// UpTo is the newest stamp that the receiver has of the sender's
-	// summaries once it has taken in Records.
+	// UpTo is the newest stamp of the sender's summaries that the receiver has
+	// after applying Records.
 	UpTo uint64
-	// Have is the newest stamp that the sender has of the summaries of the
-	// process HaveOf: what was not confirmed is sent again.
+	// Have is the newest stamp that the sender has of the summaries of process
+	// HaveOf. It acknowledges them; the others are sent again.
 	Have   uint64
 	HaveOf string
-	// Known is how many failure domains the sender knows.
+	// Known is the number of failure domains that the sender knows.
 	Known int
-	// Domains are control addresses in those domains, sent only to a node
-	// that knows fewer.
+	// Domains holds control addresses by failure domain, sent only to a node
+	// that knows fewer domains.
 	Domains map[string]string
 }
 
-// ExchangeReply answers in the same way.
+// ExchangeReply is the receiver's side of the exchange. Its fields are those of
+// ExchangeRequest.
 type ExchangeReply struct {
 	Domain  string
 	Control []string
@@ -93,66 +100,67 @@
 	Domains map[string]string
 }
 
-// StepRequest brings messages of one replica to another.
+// StepRequest carries Raft messages from one replica to another.
 type StepRequest struct {
 	Group    int
 	Messages []raft.Message
 }
 
-// Empty is a reply without content.
+// Empty is a message without content.
 type Empty struct{}
 
-// SubmitRequest asks a replica to have a command applied.
+// SubmitRequest asks a replica to replicate and apply a command.
 type SubmitRequest struct {
 	Group   int
 	Command []byte
 	WaitMs  int64
 }
 
-// SubmitReply is the result of the command, or why there is none.
+// SubmitReply returns the result of the command, or the error.
 type SubmitReply struct {
 	Result []byte
 	Code   fault.Code
-	// Run tells whether the command may be applied all the same.
+	// Run says, on an error, whether the command may still be applied.
 	Run    fault.Run
 	Detail string
-	// Leader is the control address of the leader as far as known.
+	// Leader is the control address of the leader, empty if unknown.
 	Leader string
 }
 
-// ReadRequest asks the leader for the settings in force, confirmed by a
-// quorum.
+// ReadRequest asks the leader for the active settings, confirmed by a quorum.
 type ReadRequest struct {
 	WaitMs int64
-	// Have is the version that the asking node has in force.
+	// Have is the requester's version of the settings.
 	Have uint64
 }
 
-// ReadReply brings them; without entries if the asking node has the version.
+// ReadReply returns the active settings, without entries if the requester has
+// that version.
 type ReadReply struct {
 	Version uint64
-	// Revision is the operators' own number of the document.
+	// Revision is the operators' number of the document.
 	Revision uint64
 	Entries  settings.Entries
 	Code     fault.Code
 	Leader   string
 }
 
-// IdentityReply tells what replica stands at an address.
+// IdentityReply identifies the node at an address.
 type IdentityReply struct {
 	ID     string
 	Domain string
-	// Addr is the control address that it tells others, which may differ from the
-	// one that was asked; "" from an earlier release.
+	// Addr is the control address that the node advertises, which may differ
+	// from the one the request was sent to; "" from an earlier release.
 	Addr string
-	// Formed tells whether it belongs to a group.
+	// Formed reports whether the node belongs to a replication group.
 	Formed bool
 }
 
-// Counter counts the bytes of all control connections of a process.
+// ByteCounter counts the bytes read and written on all control connections of a
+// process. It is safe for concurrent use.
 type ByteCounter struct{ In, Out atomic.Int64 }
 
-// Counted is a connection whose bytes are counted.
+// CountingConn is a connection that adds its traffic to a ByteCounter.
 type CountingConn struct {
 	net.Conn
 	Counter *ByteCounter
@@ -172,62 +180,61 @@
 	return n, err
 }
 
-// maxConns is how many connections a Pool keeps. Most calls go to a random
-// member of a large failure domain, once.
+// maxConns is the number of connections at which a Pool evicts idle ones. Most
+// calls go to random members of a large failure domain, so more are rarely reused.
 const maxConns = 48
 
-// Pool keeps a connection to each of the addresses called last. It is safe for
-// concurrent use.
+// Pool makes RPC calls over one connection for each of the most recently called
+// addresses. It is safe for concurrent use.
 type Pool struct {
 	counter *ByteCounter
 	dial    Dialer
 
 	mu    sync.Mutex
-	conns map[string]*pooled
+	conns map[string]*pooledConn
 }
 
-// pooled is a connection with what it takes to choose which to close.
-type pooled struct {
-	client  *rpc.Client
-	lastUse time.Time
-	calls   int
+// pooledConn is a connection with its usage, by which idle ones are evicted.
+type pooledConn struct {
+	client      *rpc.Client
+	lastUse     time.Time
+	activeCalls int
 }
 
-// Dialer opens a connection.
+// Dialer opens a connection to a control address.
 type Dialer func(addr string, timeout time.Duration) (net.Conn, error)
 
-// DialTCP is the Dialer of a daemon.
+// DialTCP is the Dialer for TCP.
 func DialTCP(addr string, timeout time.Duration) (net.Conn, error) {
 	return net.DialTimeout("tcp", addr, timeout)
 }
 
-// NewPool returns an empty pool that counts its bytes on c.
+// NewPool returns an empty pool whose traffic is counted in c.
 func NewPool(c *ByteCounter, dial Dialer) *Pool {
-	return &Pool{counter: c, dial: dial, conns: map[string]*pooled{}}
+	return &Pool{counter: c, dial: dial, conns: map[string]*pooledConn{}}
 }
 
-// Call calls a method of the node at addr. A connection that does not answer
-// in time is closed: it may have gone silent for good, while a new one works. One
-// that was kept and turns out to be closed led to a process that has ended, which
-// says nothing of the one that stands there now: the call is sent again, once, on a
-// new connection. That is safe, as all methods are idempotent.
+// Call calls a method of the node at addr. A connection without a reply in time
+// is closed, as it may be dead while a new one works. If a reused connection
+// turns out to be closed, its process may have been restarted, so the call is
+// sent once more on a new connection; all methods are idempotent.
 func (p *Pool) Call(addr, method string, args, reply any, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	for first := true; ; first = false {
-		c, kept, err := p.get(addr, time.Until(deadline))
+		c, reused, err := p.acquire(addr, time.Until(deadline))
 		if err != nil {
 			return fault.Wrap(fault.PeerLost, err, "cannot connect to "+addr)
 		}
 		closed, err := p.callOn(c, addr, method, args, reply, time.Until(deadline))
-		if !closed || !kept || !first {
+		if !closed || !reused || !first {
 			return err
 		}
 	}
 }
 
-// callOn calls over one connection. It tells whether the connection turned out to
-// be closed.
-func (p *Pool) callOn(c *pooled, addr, method string, args, reply any, timeout time.Duration) (closed bool, err error) {
+// callOn calls a method over one connection and releases it. closed reports
+// whether the connection failed before the reply.
+func (p *Pool) callOn(c *pooledConn, addr, method string, args, reply any, timeout time.Duration) (closed bool, err error) {
 	defer p.release(c)
 	call := c.client.Go(ServiceName+"."+method, args, reply, make(chan *rpc.Call, 1))
 	t := time.NewTimer(timeout)
@@ -239,35 +246,36 @@
 		}
 		if _, ok := call.Error.(rpc.ServerError); !ok {
 			closed = true
-			p.drop(addr, c)
+			p.discard(addr, c)
 		}
 		return closed, fault.Wrap(fault.PeerLost, call.Error, method+" at "+addr).Unknown()
 	case <-t.C:
-		p.drop(addr, c)
+		p.discard(addr, c)
 		return false, fault.New(fault.PeerSilent, "no answer to "+method+" from "+addr).Unknown()
 	}
 }
 
-// get returns the connection to addr; kept tells whether it was there before.
-func (p *Pool) get(addr string, timeout time.Duration) (c *pooled, kept bool, err error) {
-	if c := p.take(addr, nil); c != nil {
+// acquire returns a connection to addr, dialled if there is none; reused reports
+// whether it was in the pool.
+func (p *Pool) acquire(addr string, timeout time.Duration) (c *pooledConn, reused bool, err error) {
+	if c := p.takeOrAdd(addr, nil); c != nil {
 		return c, true, nil
 	}
 	conn, err := p.dial(addr, timeout)
 	if err != nil {
 		return nil, false, err
 	}
-	fresh := &pooled{client: rpc.NewClient(CountingConn{conn, p.counter})}
-	c = p.take(addr, fresh)
+	fresh := &pooledConn{client: rpc.NewClient(CountingConn{conn, p.counter})}
+	c = p.takeOrAdd(addr, fresh)
 	if c != fresh {
 		_ = fresh.client.Close()
 	}
 	return c, c != fresh, nil
 }
 
-// take returns the connection to addr, counting a call on it. If there is none
-// it takes fresh in, unless that is nil.
-func (p *Pool) take(addr string, fresh *pooled) *pooled {
+// takeOrAdd returns the pool's connection to addr, or adds fresh if there is none
+// and fresh isn't nil, and counts a call on it.
+func (p *Pool) takeOrAdd(addr string, fresh *pooledConn) *pooledConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := p.conns[addr]
@@ -275,23 +283,24 @@
 		if fresh == nil {
 			return nil
 		}
-		p.makeRoom()
+		p.evictIdle()
 		c = fresh
 		p.conns[addr] = c
 	}
-	c.calls++
+	c.activeCalls++
 	c.lastUse = time.Now()
 	return c
 }
 
-// makeRoom closes the connection that was unused for longest. The lock is held.
-func (p *Pool) makeRoom() {
+// evictIdle closes the least recently used connection without calls if the pool
+// is full. The caller holds the lock.
+func (p *Pool) evictIdle() {
 	if len(p.conns) < maxConns {
 		return
 	}
 	oldest := ""
 	for addr, c := range p.conns {
-		if c.calls == 0 && (oldest == "" || c.lastUse.Before(p.conns[oldest].lastUse)) {
+		if c.activeCalls == 0 && (oldest == "" || c.lastUse.Before(p.conns[oldest].lastUse)) {
 			oldest = addr
 		}
 	}
@@ -301,13 +310,15 @@
 	}
 }
 
-func (p *Pool) release(c *pooled) {
+// release ends a call on a connection.
+func (p *Pool) release(c *pooledConn) {
 	p.mu.Lock()
-	c.calls--
+	c.activeCalls--
 	p.mu.Unlock()
 }
 
-func (p *Pool) drop(addr string, c *pooled) {
+// discard removes a connection from the pool and closes it.
+func (p *Pool) discard(addr string, c *pooledConn) {
 	p.mu.Lock()
 	if p.conns[addr] == c {
 		delete(p.conns, addr)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -10,26 +10,27 @@
 	"github.com/onsi/gomega"
 )
 
-// echo answers with the version that it was asked for.
+// echo replies with the version in the request.
 type echo struct{}
 
-// Fetch serves control.Fetch.
+// Fetch implements the Fetch method of the service.
 func (echo) Fetch(req *FetchRequest, reply *FetchReply) error {
 	reply.Version = req.Since
 	return nil
 }
 
-// process is a server that can end and start again at its address.
-type process struct {
+// testServer is an RPC server that can be stopped and restarted at its address.
+type testServer struct {
 	ln    net.Listener
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
-func startProcess(g *gomega.WithT, addr string) *process {
+// startServer starts a server, retrying while the address is in use.
+func startServer(g *gomega.WithT, addr string) *testServer {
 	var ln net.Listener
 	g.Eventually(func() (err error) { ln, err = net.Listen("tcp", addr); return err }, 5*time.Second, time.Millisecond).Should(gomega.Succeed())
-	p := &process{ln: ln}
+	p := &testServer{ln: ln}
 	srv := rpc.NewServer()
 	g.Expect(srv.RegisterName(ServiceName, echo{})).To(gomega.Succeed())
 	go func() {
@@ -47,7 +48,8 @@
 	return p
 }
 
-func (p *process) end() {
+// stop closes the listener and all connections.
+func (p *testServer) stop() {
 	_ = p.ln.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,13 +58,12 @@
 	}
 }
 
-// TestACallReachesAProcessThatWasRestarted: the kept connection leads to the process
-// that stood at the address before. That it is gone says nothing of the one that
-// stands there now.
-func TestACallReachesAProcessThatWasRestarted(t *testing.T) {
+// TestCallReachesRestartedServer guards against a call that fails because the
+// pooled connection leads to the previous process at the address.
+func TestCallReachesRestartedServer(t *testing.T) {
 	g := gomega.NewWithT(t)
-	first := startProcess(g, "127.0.0.1:0")
-	addr := first.ln.Addr().String()
+	server := startServer(g, "127.0.0.1:0")
+	addr := server.ln.Addr().String()
 	pool := NewPool(&ByteCounter{}, DialTCP)
 	defer pool.Close()
 	fetch := func(v uint64) (uint64, error) {
@@ -74,10 +75,10 @@
 		got, err := fetch(v)
 		g.Expect(err).NotTo(gomega.HaveOccurred(), "after %d restarts", v)
 		g.Expect(got).To(gomega.Equal(v))
-		first.end()
-		first = startProcess(g, addr)
+		server.stop()
+		server = startServer(g, addr)
 	}
-	first.end()
+	server.stop()
 	_, err := fetch(1)
-	g.Expect(err).To(gomega.HaveOccurred(), "nobody is there")
+	g.Expect(err).To(gomega.HaveOccurred(), "call without a server")
 }
