--- a/burn/burn.go
+++ b/burn/burn.go
@@ -57,15 +57,15 @@
 }
 
 // Book counts the outcomes of requests by kind. It is safe for concurrent use.
-type Book struct {
+type Tracker struct {
 	kinds sync.Map // root scope -> *kind
 }
 
 // NewBook returns an empty book.
-func NewBook() *Book { return &Book{} }
+func NewBook() *Tracker { return &Tracker{} }
 
 // Add books one request that ended at now.
-func (b *Book) Add(root string, now time.Time, good bool, code fault.Code) {
+func (b *Tracker) Add(root string, now time.Time, good bool, code fault.Code) {
 	v, ok := b.kinds.Load(root)
 	if !ok {
 		v, _ = b.kinds.LoadOrStore(root, &kind{})
@@ -125,7 +125,7 @@
 }
 
 // Kinds returns the book as of now, sorted by kind.
-func (b *Book) Kinds(now time.Time) []Kind {
+func (b *Tracker) Kinds(now time.Time) []Kind {
 	var out []Kind
 	b.kinds.Range(func(key, v any) bool {
 		out = append(out, v.(*kind).report(key.(string), now))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -89,7 +89,7 @@
 	overload   atomic.Pointer[overload]
 	traces     *last[Trace]
 	events     *last[Event]
-	burn       *burn.Book
+	burn       *burn.Tracker
 
 	gossip   *gossiper
 	replicas *replicas
