--- a/burn/burn.go
+++ b/burn/burn.go
@@ -62,7 +62,7 @@
 }
 
 // NewBook returns an empty book.
-func NewBook() *Tracker { return &Tracker{} }
+func NewTracker() *Tracker { return &Tracker{} }
 
 // Add books one request that ended at now.
 func (b *Tracker) Add(root string, now time.Time, good bool, code fault.Code) {
--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -11,7 +11,7 @@
 
 func TestWindowsForget(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b := NewBook()
+	b := NewTracker()
 	start := time.Unix(1_790_000_000, 0)
 	for i := range 600 {
 		code := fault.None
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -125,7 +125,7 @@
 	n := &Node{
 		opt: o, id: newID(), log: logger, start: time.Now(),
 		traces: newLast[Trace](keptTraces), events: newLast[Event](keptEvents),
-		burn: burn.NewBook(), retired: map[string]retirement{}, stop: make(chan struct{}),
+		burn: burn.NewTracker(), retired: map[string]retirement{}, stop: make(chan struct{}),
 		dial: control.DialTCP, mayDatagram: func(string) bool { return true },
 	}
 	n.quarantine = newQuarantiner(n)
