--- a/burn/burn.go
+++ b/burn/burn.go
@@ -65,7 +65,7 @@
 func NewTracker() *Tracker { return &Tracker{} }
 
 // Add books one request that ended at now.
-func (b *Tracker) Add(root string, now time.Time, good bool, code fault.Code) {
+func (b *Tracker) Record(root string, now time.Time, good bool, code fault.Code) {
 	v, ok := b.kinds.Load(root)
 	if !ok {
 		v, _ = b.kinds.LoadOrStore(root, &kind{})
--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -18,7 +18,7 @@
 		if i%10 == 0 {
 			code = fault.Overload
 		}
-		b.Add("f/s/k", start.Add(time.Duration(i)*time.Second), code == fault.None, code)
+		b.Record("f/s/k", start.Add(time.Duration(i)*time.Second), code == fault.None, code)
 	}
 	k := b.Kinds(start.Add(600 * time.Second))[0]
 	g.Expect(k.Counts[0].Total).To(gomega.BeNumerically("~", 60, 10))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -443,7 +443,7 @@
 	took := time.Since(c.started)
 	n.latencies.Observe(c.rank.Class().String(), code.String(), took)
 	if c.depth == 0 {
-		n.burn.Add(c.root, time.Now(), code == fault.None && took <= c.policy.ObjectiveWithin, code)
+		n.burn.Record(c.root, time.Now(), code == fault.None && took <= c.policy.ObjectiveWithin, code)
 	}
 	sampled := code == fault.None && n.stats.served.Add(1)%servedTraceEvery == 0
 	n.logRequest(c, code, run, took, sampled)
