--- a/burn/burn.go
+++ b/burn/burn.go
@@ -125,7 +125,7 @@
 }
 
 // Kinds returns the book as of now, sorted by kind.
-func (b *Tracker) Kinds(now time.Time) []Kind {
+func (b *Tracker) Report(now time.Time) []Kind {
 	var out []Kind
 	b.kinds.Range(func(key, v any) bool {
 		out = append(out, v.(*kind).report(key.(string), now))
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -274,7 +274,7 @@
 func (n *Node) serveBurn(w http.ResponseWriter, _ *http.Request) {
 	out := BurnReport{Node: n.opt.Name, Domain: n.opt.Domain, Retries: n.stats.retries.Load(), Domains: map[string]bool{}, Sheds: n.stats.bySlug(), Service: n.meta().Service, Overload: n.overload.Load()}
 	tree := n.conf.Load().tree
-	for _, k := range n.burn.Kinds(time.Now()) {
+	for _, k := range n.burn.Report(time.Now()) {
 		p := tree.Policy(k.Root)
 		out.Kinds = append(out.Kinds, BurnKind{k, p.Class.String(), p.Objective})
 	}
