--- a/burn/burn.go
+++ b/burn/burn.go
@@ -113,7 +113,7 @@
 }
 
 // Kind is what a book holds of one request kind.
-type Kind struct {
+type KindReport struct {
 	Root string `json:"kind"`
 	// Counts has one entry for each of Windows.
 	Counts [len(Windows)]Count `json:"counts"`
@@ -125,8 +125,8 @@
 }
 
 // Kinds returns the book as of now, sorted by kind.
-func (b *Tracker) Report(now time.Time) []Kind {
-	var out []Kind
+func (b *Tracker) Report(now time.Time) []KindReport {
+	var out []KindReport
 	b.kinds.Range(func(key, v any) bool {
 		out = append(out, v.(*kind).report(key.(string), now))
 		return true
@@ -135,8 +135,8 @@
 	return out
 }
 
-func (k *kind) report(root string, now time.Time) Kind {
-	r := Kind{Root: root, Sheds: map[string]int64{}}
+func (k *kind) report(root string, now time.Time) KindReport {
+	r := KindReport{Root: root, Sheds: map[string]int64{}}
 	for c := range k.sheds {
 		if v := k.sheds[c].Load(); v > 0 {
 			r.Sheds[fault.Code(c).String()] = v
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -266,7 +266,7 @@
 
 // BurnKind is one request kind's book with its objective.
 type BurnKind struct {
-	burn.Kind
+	burn.KindReport
 	Class     string  `json:"class"`
 	Objective float64 `json:"objective"`
 }
