--- a/burn/burn.go
+++ b/burn/burn.go
@@ -114,7 +114,7 @@
 
 // Kind is what a book holds of one request kind.
 type KindReport struct {
-	Root string `json:"kind"`
+	Scope string `json:"kind"`
 	// Counts has one entry for each of Windows.
 	Counts [len(Windows)]Count `json:"counts"`
 	// Steps are the counts of the last five minutes, oldest first, one for
@@ -131,12 +131,12 @@
 		out = append(out, v.(*kind).report(key.(string), now))
 		return true
 	})
-	sort.Slice(out, func(i, j int) bool { return out[i].Root < out[j].Root })
+	sort.Slice(out, func(i, j int) bool { return out[i].Scope < out[j].Scope })
 	return out
 }
 
 func (k *kind) report(root string, now time.Time) KindReport {
-	r := KindReport{Root: root, Sheds: map[string]int64{}}
+	r := KindReport{Scope: root, Sheds: map[string]int64{}}
 	for c := range k.sheds {
 		if v := k.sheds[c].Load(); v > 0 {
 			r.Sheds[fault.Code(c).String()] = v
--- a/internal/ctl/burn.go
+++ b/internal/ctl/burn.go
@@ -98,10 +98,10 @@
 }
 
 func addKind(kinds map[string]*ReportKind, k *node.BurnKind) {
-	sum := kinds[k.Root]
+	sum := kinds[k.Scope]
 	if sum == nil {
-		sum = &ReportKind{Kind: k.Root, Class: k.Class, Objective: k.Objective, Steps: make([]burn.Count, len(k.Steps)), Sheds: map[string]int64{}}
-		kinds[k.Root] = sum
+		sum = &ReportKind{Kind: k.Scope, Class: k.Class, Objective: k.Objective, Steps: make([]burn.Count, len(k.Steps)), Sheds: map[string]int64{}}
+		kinds[k.Scope] = sum
 	}
 	for i, c := range k.Counts {
 		sum.Counts[i] = sum.Counts[i].Add(c)
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -36,7 +36,7 @@
 	g := gomega.NewWithT(t)
 	kinds := map[string]*ReportKind{}
 	k := &node.BurnKind{Class: "protected", Objective: 0.99}
-	k.Root = "suva/cover-desk/check"
+	k.Scope = "suva/cover-desk/check"
 	for i := range k.Counts {
 		k.Counts[i] = burn.Count{Good: 60, Total: 100}
 	}
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -275,7 +275,7 @@
 	out := BurnReport{Node: n.opt.Name, Domain: n.opt.Domain, Retries: n.stats.retries.Load(), Domains: map[string]bool{}, Sheds: n.stats.bySlug(), Service: n.meta().Service, Overload: n.overload.Load()}
 	tree := n.conf.Load().tree
 	for _, k := range n.burn.Report(time.Now()) {
-		p := tree.Policy(k.Root)
+		p := tree.Policy(k.Scope)
 		out.Kinds = append(out.Kinds, BurnKind{k, p.Class.String(), p.Objective})
 	}
 	for name, d := range n.view.Load().domains {
