--- a/burn/burn.go
+++ b/burn/burn.go
@@ -121,7 +121,7 @@
 	// each StepSpan; the last step is not over.
 	Steps []Count `json:"steps"`
 	// Sheds counts the failures by reason since the start.
-	Sheds map[string]int64 `json:"sheds,omitempty"`
+	FailuresByCode map[string]int64 `json:"sheds,omitempty"`
 }
 
 // Kinds returns the book as of now, sorted by kind.
@@ -136,10 +136,10 @@
 }
 
 func (k *kind) report(root string, now time.Time) KindReport {
-	r := KindReport{Scope: root, Sheds: map[string]int64{}}
+	r := KindReport{Scope: root, FailuresByCode: map[string]int64{}}
 	for c := range k.sheds {
 		if v := k.sheds[c].Load(); v > 0 {
-			r.Sheds[fault.Code(c).String()] = v
+			r.FailuresByCode[fault.Code(c).String()] = v
 		}
 	}
 	k.mu.Lock()
--- a/internal/ctl/burn.go
+++ b/internal/ctl/burn.go
@@ -111,7 +111,7 @@
 			sum.Steps[i] = sum.Steps[i].Add(c)
 		}
 	}
-	for reason, n := range k.Sheds {
+	for reason, n := range k.FailuresByCode {
 		sum.Sheds[reason] += n
 	}
 }
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -41,7 +41,7 @@
 		k.Counts[i] = burn.Count{Good: 60, Total: 100}
 	}
 	k.Steps = []burn.Count{{Good: 10, Total: 10}, {Good: 5, Total: 10}}
-	k.Sheds = map[string]int64{"overload": 40}
+	k.FailuresByCode = map[string]int64{"overload": 40}
 	addKind(kinds, k)
 	addKind(kinds, k)
 	r := &Report{At: time.Unix(0, 0), Refusals: map[string]int64{"overload": 80}, Unknown: []string{"suva-c"}}
