--- a/burn/burn.go
+++ b/burn/burn.go
@@ -103,7 +103,7 @@
 
 // Rate returns the burn rate against an objective: 1 spends the error budget
 // exactly, 0 nothing. It is 0 without requests.
-func (c Count) Rate(objective float64) float64 {
+func (c Count) BurnRate(objective float64) float64 {
 	if c.Total == 0 {
 		return 0
 	}
--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -23,7 +23,7 @@
 	k := b.Report(start.Add(600 * time.Second))[0]
 	g.Expect(k.Counts[0].Total).To(gomega.BeNumerically("~", 60, 10))
 	g.Expect(k.Counts[2].Total).To(gomega.Equal(uint64(600)))
-	g.Expect(k.Counts[2].Rate(0.99)).To(gomega.BeNumerically("~", 10, 0.01))
+	g.Expect(k.Counts[2].BurnRate(0.99)).To(gomega.BeNumerically("~", 10, 0.01))
 	g.Expect(k.FailuresByCode).To(gomega.Equal(map[string]int64{"overload": 60}))
 	later := b.Report(start.Add(2 * time.Hour))[0]
 	g.Expect(later.Counts[2].Total).To(gomega.BeZero())
--- a/internal/ctl/burn.go
+++ b/internal/ctl/burn.go
@@ -139,7 +139,7 @@
 func (r *Report) finish(kinds map[string]*ReportKind, overloads map[string]*ReportOverload) {
 	for _, k := range kinds {
 		for i, c := range k.Counts {
-			k.Rates[i] = c.Rate(k.Objective)
+			k.Rates[i] = c.BurnRate(k.Objective)
 		}
 		switch {
 		case k.Rates[1] >= fastRate && k.Rates[0] >= fastRate:
