--- a/burn/burn.go
+++ b/burn/burn.go
@@ -32,7 +32,7 @@
 }
 
 // StepSpan is the span of one of Kind.Steps.
-const StepSpan = fineStep
+const StepDuration = fineStep
 
 const (
 	fineStep  = 10 * time.Second
--- a/internal/ctl/page.go
+++ b/internal/ctl/page.go
@@ -83,7 +83,7 @@
 		var pts plotter.XYs
 		for j, c := range k.Steps {
 			if c.Total > 0 {
-				ago := time.Duration(len(k.Steps)-j) * burn.StepSpan
+				ago := time.Duration(len(k.Steps)-j) * burn.StepDuration
 				pts = append(pts, plotter.XY{X: -ago.Minutes(), Y: 100 * float64(c.Good) / float64(c.Total)})
 			}
 		}
