--- a/burn/burn.go
+++ b/burn/burn.go
@@ -1,8 +1,8 @@
-// Package burn keeps the service-level objectives of request kinds: how many
-// requests ended well, and how fast the error budget is being spent over
-// several windows at once (Google, The Site Reliability Workbook, chapter 5).
-// A Book takes bounded memory per kind: one ring of one-minute counters and one
-// ring of ten-second counters.
+// Package burn measures burn rates against service-level objectives: for each
+// request kind, how many requests met the objective and how fast the error
+// budget is spent over several windows (Google, The Site Reliability Workbook,
+// chapter 5). Memory per kind is fixed: a ring of one-minute counters and a ring
+// of ten-second counters.
 package burn
 
 import (
@@ -14,16 +14,15 @@
 	"github.com/umberthread/umberthread/fault"
 )
 
-// Window is a span over which the burn rate is told.
+// Window is a period over which burn rates are reported.
 type Window struct {
-	// Name is how reports call it.
+	// Name is the label of the window in reports.
 	Name string
-	// Span is its length.
 	Span time.Duration
 }
 
-// Windows are the spans of a report, shortest first: the first two make the
-// fast alert, the last two the slow one.
+// Windows lists the windows of a report, shortest first. The first two are for
+// the fast-burn alert, the last two for the slow-burn alert.
 var Windows = [...]Window{
 	{"1m", time.Minute},
 	{"5m", 5 * time.Minute},
@@ -31,60 +30,65 @@
 	{"6h", 6 * time.Hour},
 }
 
-// StepSpan is the span of one of Kind.Steps.
+// StepDuration is the duration of each entry of KindReport.Steps.
 const StepDuration = fineStep
 
+// The fine ring covers five minutes and the coarse ring six hours, each with one
+// more counter for the current step.
 const (
-	fineStep  = 10 * time.Second
-	fineSize  = 31
-	roughStep = time.Minute
-	roughSize = 361
+	fineStep   = 10 * time.Second
+	fineSize   = 31
+	coarseStep = time.Minute
+	coarseSize = 361
 )
 
-// counter counts within one step of time.
+// counter counts requests within one step of time.
 type counter struct {
-	step  int64
+	step  int64 // number of the step since the Unix epoch
 	good  uint32
 	total uint32
 }
 
-// kind is the book of one request kind.
-type kind struct {
-	mu    sync.Mutex
-	fine  [fineSize]counter
-	rough [roughSize]counter
-	sheds [fault.Count]atomic.Int64
+// kindCounters holds the counters of one request kind.
+type kindCounters struct {
+	mu       sync.Mutex
+	fine     [fineSize]counter
+	coarse   [coarseSize]counter
+	failures [fault.Count]atomic.Int64
 }
 
-// Book counts the outcomes of requests by kind. It is safe for concurrent use.
+// Tracker counts the outcomes of requests by kind. It is safe for concurrent use.
 type Tracker struct {
-	kinds sync.Map // root scope -> *kind
+	kinds sync.Map // scope of the request kind -> *kindCounters
 }
 
-// NewBook returns an empty book.
+// NewTracker returns an empty tracker.
 func NewTracker() *Tracker { return &Tracker{} }
 
-// Add books one request that ended at now.
-func (b *Tracker) Record(root string, now time.Time, good bool, code fault.Code) {
-	v, ok := b.kinds.Load(root)
+// Record counts one request of the kind scope that ended at now. good reports whether
+// it met the objective; code is its failure, or fault.None.
+func (t *Tracker) Record(scope string, now time.Time, good bool, code fault.Code) {
+	v, ok := t.kinds.Load(scope)
 	if !ok {
-		v, _ = b.kinds.LoadOrStore(root, &kind{})
+		v, _ = t.kinds.LoadOrStore(scope, &kindCounters{})
 	}
-	k := v.(*kind)
+	k := v.(*kindCounters)
 	if code != fault.None {
-		k.sheds[code].Add(1)
+		k.failures[code].Add(1)
 	}
 	k.mu.Lock()
-	bump(k.fine[:], now, fineStep, good)
-	bump(k.rough[:], now, roughStep, good)
+	increment(k.fine[:], now, fineStep, good)
+	increment(k.coarse[:], now, coarseStep, good)
 	k.mu.Unlock()
 }
 
-func bump(ring []counter, now time.Time, step time.Duration, good bool) {
-	at := now.UnixNano() / int64(step)
-	c := &ring[at%int64(len(ring))]
-	if c.step != at {
-		*c = counter{step: at}
+// increment counts a request in the ring's counter for now, which is reset first
+// if it holds an earlier step.
+func increment(ring []counter, now time.Time, step time.Duration, good bool) {
+	current := now.UnixNano() / int64(step)
+	c := &ring[current%int64(len(ring))]
+	if c.step != current {
+		*c = counter{step: current}
 	}
 	c.total++
 	if good {
@@ -92,7 +96,7 @@
 	}
 }
 
-// Count is how many of a number of requests ended well.
+// Count holds the number of requests and how many of them met the objective.
 type Count struct {
 	Good  uint64 `json:"good"`
 	Total uint64 `json:"total"`
@@ -101,8 +105,9 @@
 // Add returns the sum of two counts.
 func (c Count) Add(o Count) Count { return Count{c.Good + o.Good, c.Total + o.Total} }
 
-// Rate returns the burn rate against an objective: 1 spends the error budget
-// exactly, 0 nothing. It is 0 without requests.
+// BurnRate returns the burn rate against an objective, the required fraction of
+// good requests: the fraction of failed requests divided by the allowed one. It
+// is 0 without requests.
 func (c Count) BurnRate(objective float64) float64 {
 	if c.Total == 0 {
 		return 0
@@ -112,33 +117,35 @@
 	return bad / allowed
 }
 
-// Kind is what a book holds of one request kind.
+// KindReport holds the counts of one request kind.
 type KindReport struct {
+	// Scope is the scope of the request kind.
 	Scope string `json:"kind"`
 	// Counts has one entry for each of Windows.
 	Counts [len(Windows)]Count `json:"counts"`
-	// Steps are the counts of the last five minutes, oldest first, one for
-	// each StepSpan; the last step is not over.
+	// Steps holds the counts of the last five minutes, oldest first, one for
+	// each StepDuration; the last step is still in progress.
 	Steps []Count `json:"steps"`
-	// Sheds counts the failures by reason since the start.
+	// FailuresByCode counts the failures since the tracker was created.
 	FailuresByCode map[string]int64 `json:"sheds,omitempty"`
 }
 
-// Kinds returns the book as of now, sorted by kind.
-func (b *Tracker) Report(now time.Time) []KindReport {
+// Report returns the counts of all request kinds as of now, sorted by scope.
+func (t *Tracker) Report(now time.Time) []KindReport {
 	var out []KindReport
-	b.kinds.Range(func(key, v any) bool {
-		out = append(out, v.(*kind).report(key.(string), now))
+	t.kinds.Range(func(key, v any) bool {
+		out = append(out, v.(*kindCounters).report(key.(string), now))
 		return true
 	})
 	sort.Slice(out, func(i, j int) bool { return out[i].Scope < out[j].Scope })
 	return out
 }
 
-func (k *kind) report(root string, now time.Time) KindReport {
-	r := KindReport{Scope: root, FailuresByCode: map[string]int64{}}
-	for c := range k.sheds {
-		if v := k.sheds[c].Load(); v > 0 {
+// report returns the counts of one kind as of now.
+func (k *kindCounters) report(scope string, now time.Time) KindReport {
+	r := KindReport{Scope: scope, FailuresByCode: map[string]int64{}}
+	for c := range k.failures {
+		if v := k.failures[c].Load(); v > 0 {
 			r.FailuresByCode[fault.Code(c).String()] = v
 		}
 	}
@@ -148,27 +155,26 @@
 		if w.Span <= (fineSize-1)*fineStep {
 			r.Counts[i] = sum(k.fine[:], now, fineStep, w.Span)
 		} else {
-			r.Counts[i] = sum(k.rough[:], now, roughStep, w.Span)
+			r.Counts[i] = sum(k.coarse[:], now, coarseStep, w.Span)
 		}
 	}
-	r.Steps = steps(k.fine[:], now)
+	r.Steps = stepCounts(k.fine[:], now)
 	return r
 }
 
-// steps returns the fine counters in the order of time.
-func steps(ring []counter, now time.Time) []Count {
+// stepCounts returns the counters of the fine ring, oldest first.
+func stepCounts(ring []counter, now time.Time) []Count {
 	last := now.UnixNano() / int64(fineStep)
 	out := make([]Count, fineSize-1)
 	for _, c := range ring {
-		if at := len(out) - 1 - int(last-c.step); c.total > 0 && at >= 0 && at < len(out) {
-			out[at] = Count{uint64(c.good), uint64(c.total)}
+		if i := len(out) - 1 - int(last-c.step); c.total > 0 && i >= 0 && i < len(out) {
+			out[i] = Count{uint64(c.good), uint64(c.total)}
 		}
 	}
 	return out
 }
 
-// sum adds the steps that lie within span before now, the current one
-// included.
+// sum adds up the counters of the last span, including the current step.
 func sum(ring []counter, now time.Time, step, span time.Duration) Count {
 	last := now.UnixNano() / int64(step)
 	first := last - int64(span/step)
--- a/burn/burn_test.go
+++ b/burn/burn_test.go
@@ -9,7 +9,7 @@
 	"github.com/umberthread/umberthread/fault"
 )
 
-func TestWindowsForget(t *testing.T) {
+func TestOldRequestsLeaveWindows(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := NewTracker()
 	start := time.Unix(1_790_000_000, 0)
