--- a/confstore/history_test.go
+++ b/confstore/history_test.go
@@ -217,8 +217,6 @@
 	m.unansweredReads = kept
 }
 
-// specStep makes one random move: ticks, deliveries, a change of connectivity, a
-// proposeChange of the settings or a read.
 // step makes one random move: ticks, deliveries, a change of connectivity, a
 // change of the settings or a read.
 func (g *cluster) step(t *rapid.T) {
--- a/confstore/store.go
+++ b/confstore/store.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// MaxResults is the number of results kept to answer resent changes: two
+	// MaxResults is the number of results kept to answer resent changes: over two
 	// days' worth at 29,000 changes a day.
 	MaxResults = 65536
 	// MaxChanges is the number of changes kept, from which nodes that lag
--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -31,8 +31,8 @@
 	IdleMax time.Duration
 	// DialTimeout bounds the set-up of a connection.
 	DialTimeout time.Duration
-	// ProbeInterval is the time without a response after which, and at which
-	// interval, the server is probed by opening a new connection.
+	// ProbeInterval is the interval at which the server is probed, by opening a
+	// new connection, while a request waits for its response.
 	ProbeInterval time.Duration
 }
 
@@ -97,8 +97,8 @@
 // IsComplete reports whether the body was read to its end.
 func (r *Response) IsComplete() bool { return r.eof || r.ContentLength == 0 }
 
-// Close returns the connection to the idle ones, or closes it if the body was
-// not read to its end.
+// Close returns the connection to the idle ones, or closes it if it can't be
+// reused, for example because the body was not read to its end.
 func (r *Response) Close() {
 	if r.conn == nil {
 		return
@@ -123,8 +123,8 @@
 	Idempotent bool
 }
 
-// Do sends a request and reads the head of the response. An error has RunNo
-// only if the request cannot have reached the server whole.
+// Do sends a request and reads the head of the response. An error says that the
+// request was not executed only if the server cannot have received all of it.
 //
 // matches reports whether a response belongs to the request; nil accepts any.
 // Other responses are read and discarded, as a faulty server may send a
@@ -207,8 +207,8 @@
 // a connection that was dropped without a reset looks like a slow response.
 // Every ProbeInterval it fails with BackendLost if the server accepts no new
 // connection, and with PeerSilent if an idempotent request has waited several
-// times longer than the slowest recent one of its kind. A request that isn't
-// idempotent can't be sent again, so it waits until its deadline.
+// times longer than the slowest recent one of its kind. Other requests can't be
+// sent again, so a slow one is never failed as silent.
 func (c *Client) awaitFirstByte(s *scope.Scope, cn *conn, t *latencyTracker, idempotent bool) error {
 	start := time.Now()
 	for {
@@ -306,8 +306,8 @@
 }
 
 // popIdle returns an idle connection if there is one. Otherwise dial reports
-// whether the caller may dial one, and has reserved it, and aborted whether the
-// client was aborted.
+// whether a new connection was reserved, which the caller must dial, and aborted
+// whether Abort was called.
 func (c *Client) popIdle() (cn *conn, dial, aborted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -369,8 +369,8 @@
 	c.mu.Unlock()
 }
 
-// Abort closes all connections, including those in use, whose requests fail
-// with RunUnknown. No request is sent afterwards.
+// Abort closes all connections, including those in use, whose requests fail as
+// possibly executed. No request is sent afterwards.
 func (c *Client) Abort() {
 	c.mu.Lock()
 	c.aborted = true
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -183,8 +183,8 @@
 }
 
 // TestServerThatHangsOnRequestsBeyondItsQueue covers a server that executes two
-// requests, queues two and never responds to others. Those must fail early with
-// RunUnknown and release their connections.
+// requests, queues two and never responds to others. Those must fail early, as
+// possibly executed, and release their connections.
 func TestServerThatHangsOnRequestsBeyondItsQueue(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const slots, queue, sent = 2, 2, 8
