--- a/internal/ctl/burn.go
+++ b/internal/ctl/burn.go
@@ -98,10 +98,10 @@
 }
 
 func addKind(kinds map[string]*ReportKind, k *node.BurnKind) {
-	sum := kinds[k.Root]
+	sum := kinds[k.Scope]
 	if sum == nil {
-		sum = &ReportKind{Kind: k.Root, Class: k.Class, Objective: k.Objective, Steps: make([]burn.Count, len(k.Steps)), Sheds: map[string]int64{}}
-		kinds[k.Root] = sum
+		sum = &ReportKind{Kind: k.Scope, Class: k.Class, Objective: k.Objective, Steps: make([]burn.Count, len(k.Steps)), Sheds: map[string]int64{}}
+		kinds[k.Scope] = sum
 	}
 	for i, c := range k.Counts {
 		sum.Counts[i] = sum.Counts[i].Add(c)
@@ -111,7 +111,7 @@
 			sum.Steps[i] = sum.Steps[i].Add(c)
 		}
 	}
-	for reason, n := range k.Sheds {
+	for reason, n := range k.FailuresByCode {
 		sum.Sheds[reason] += n
 	}
 }
@@ -139,7 +139,7 @@
 func (r *Report) finish(kinds map[string]*ReportKind, overloads map[string]*ReportOverload) {
 	for _, k := range kinds {
 		for i, c := range k.Counts {
-			k.Rates[i] = c.Rate(k.Objective)
+			k.Rates[i] = c.BurnRate(k.Objective)
 		}
 		switch {
 		case k.Rates[1] >= fastRate && k.Rates[0] >= fastRate:
--- a/internal/ctl/reference.go
+++ b/internal/ctl/reference.go
@@ -6,8 +6,8 @@
 	"github.com/umberthread/umberthread/settings"
 )
 
-var levelNames = map[settings.Depth]string{
-	settings.AtDefault: "default", settings.AtFleet: "fleet", settings.AtService: "service", settings.AtKind: "kind",
+var levelNames = map[settings.Level]string{
+	settings.LevelDefault: "default", settings.LevelFleet: "fleet", settings.LevelService: "service", settings.LevelKind: "kind",
 }
 
 const referenceHead = `# Settings of the operators' tree
@@ -32,7 +32,7 @@
 		if k.Default == "" {
 			def = "none"
 		}
-		o.printf("| `%s` | %s | %s | %s | %s |\n", k.Name, def, levelNames[k.Lowest], strings.ReplaceAll(k.Allowed, "|", `\|`), k.Doc)
+		o.printf("| `%s` | %s | %s | %s | %s |\n", k.Name, def, levelNames[k.DeepestLevel], strings.ReplaceAll(k.Allowed, "|", `\|`), k.Doc)
 	}
 	return nil
 }
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -274,7 +274,7 @@
 
 // BurnKind is the burn record of one request kind with its class and objective.
 type BurnKind struct {
-	burn.Kind
+	burn.KindReport
 	Class     string  `json:"class"`
 	Objective float64 `json:"objective"`
 }
@@ -282,8 +282,8 @@
 func (n *Node) serveBurn(w http.ResponseWriter, _ *http.Request) {
 	out := BurnReport{Node: n.opt.Name, Domain: n.opt.Domain, Retries: n.stats.retries.Load(), Domains: map[string]bool{}, Refusals: n.stats.refusalsByReason(), Service: n.meta().Service, Overload: n.lastOverload.Load()}
 	tree := n.conf.Load().tree
-	for _, k := range n.burn.Kinds(time.Now()) {
-		p := tree.Policy(k.Root)
+	for _, k := range n.burn.Report(time.Now()) {
+		p := tree.Policy(k.Scope)
 		out.Kinds = append(out.Kinds, BurnKind{k, p.Class.String(), p.Objective})
 	}
 	for name, d := range n.view.Load().domains {
--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -143,7 +143,7 @@
 		next.client = old.client
 	} else {
 		next.client = backend.New(a.Address, backend.Options{
-			MaxConns: a.Connections, IdleMax: backendIdleTimeout, DialTimeout: backendDialTimeout, Quiet: backendSilenceTimeout,
+			MaxConns: a.Connections, IdleMax: backendIdleTimeout, DialTimeout: backendDialTimeout, ProbeInterval: backendSilenceTimeout,
 		})
 	}
 	n.local.Store(next)
@@ -167,10 +167,10 @@
 // fail at once.
 func closeEarlierIncarnation(old *localBackend, a *Announcement) {
 	if old.client.Addr() == a.Address {
-		old.client.Abandon()
+		old.client.Abort()
 		return
 	}
-	old.client.Close()
+	old.client.CloseIdleConnections()
 }
 
 // isOutdated reports whether a newer announcement of the same incarnation, a later
@@ -261,7 +261,7 @@
 	if old == nil {
 		return
 	}
-	old.client.Close()
+	old.client.CloseIdleConnections()
 	n.publishMeta()
 	n.logEvent("backend", old.service+" is gone: "+why)
 }
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -17,7 +17,7 @@
 type controlServer struct {
 	node     *Node
 	pool     *control.Pool
-	counter  control.Counter
+	counter  control.ByteCounter
 	links    *links.State
 	contacts recentContacts
 	rpc      *rpc.Server
@@ -30,7 +30,7 @@
 func newControlServer(n *Node) *controlServer {
 	s := &controlServer{node: n, links: links.New(), rpc: rpc.NewServer(), conns: map[net.Conn]struct{}{}}
 	s.pool = control.NewPool(&s.counter, func(addr string, timeout time.Duration) (net.Conn, error) { return n.dial(addr, timeout) })
-	if err := s.rpc.RegisterName(control.Service, &controlAPI{n}); err != nil {
+	if err := s.rpc.RegisterName(control.ServiceName, &controlAPI{n}); err != nil {
 		// The methods are fixed at compile time.
 		panic(err)
 	}
@@ -51,7 +51,7 @@
 		s.conns[c] = struct{}{}
 		s.mu.Unlock()
 		go func() {
-			s.rpc.ServeConn(control.Counted{Conn: c, C: &s.counter})
+			s.rpc.ServeConn(control.CountingConn{Conn: c, Counter: &s.counter})
 			s.mu.Lock()
 			delete(s.conns, c)
 			s.mu.Unlock()
--- a/internal/node/edge.go
+++ b/internal/node/edge.go
@@ -78,11 +78,11 @@
 	if !conf.tree.HasRoutes() {
 		return c, c.refusal(fault.Starting, "this node has no settings yet", 0)
 	}
-	route := conf.tree.Route(r.Host, r.URL.EscapedPath())
+	route := conf.tree.MatchRoute(r.Host, r.URL.EscapedPath())
 	if route == nil {
 		return c, fault.New(fault.UnknownKind, "no route matches this host and path")
 	}
-	target := route.Draw()
+	target := route.SelectTarget()
 	c.target, c.rootTarget, c.policy = target.Scope, target.Scope, target.Policy
 	c.service = serviceOfTarget(c.target)
 	allowed := c.policy.Deadline
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -96,7 +96,7 @@
 	}
 	c := &call{target: target, service: serviceOfTarget(target), method: r.Method, path: rest, started: time.Now()}
 	conf := n.conf.Load()
-	c.policy, ok = conf.tree.Kind(target)
+	c.policy, ok = conf.tree.KindPolicy(target)
 	if !ok {
 		return nil, unknownTarget(conf, c)
 	}
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -79,7 +79,7 @@
 	started := time.Now()
 	p.applyEvent(requestEventSend)
 	req, exchange := n.newBackendExchange(be, c, w, retryBudget)
-	httpResp, err := be.client.Do(w.scope, backend.Traits{Kind: kind, Idempotent: c.policy.Idempotent}, req, exchange.accepts)
+	httpResp, err := be.client.Do(w.scope, backend.RequestTraits{Kind: kind, Idempotent: c.policy.Idempotent}, req, exchange.accepts)
 	if err == nil && exchange.class.NotExecuted != fault.None {
 		return nil, n.handleRejection(be, c, w, &p, httpResp, exchange.class.NotExecuted)
 	}
@@ -119,7 +119,7 @@
 		resp.header = append(resp.header, wireField{Name: HeaderExecution, Value: fault.ExecutionUnknown.String()})
 	}
 	resp.close = func() {
-		if httpResp.Whole() {
+		if httpResp.IsComplete() {
 			n.quarantine.recordResponse(c)
 		} else if c.scope.Err() == fault.None {
 			n.quarantine.recordBroken(be.incarnation, c)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -93,7 +93,7 @@
 	lastOverload atomic.Pointer[overloadPeriod]
 	traces       *recentItems[Trace]
 	events       *recentItems[Event]
-	burn         *burn.Book
+	burn         *burn.Tracker
 
 	gossip   *gossiper
 	replicas *replicas
@@ -133,7 +133,7 @@
 	n := &Node{
 		opt: o, id: newID(), log: logger, start: time.Now(),
 		traces: newRecentItems[Trace](maxTraces), events: newRecentItems[Event](maxEvents),
-		burn: burn.NewBook(), retiredIncarnations: map[string]retiredIncarnation{}, stop: make(chan struct{}),
+		burn: burn.NewTracker(), retiredIncarnations: map[string]retiredIncarnation{}, stop: make(chan struct{}),
 		dial: control.DialTCP, allowDatagram: func(string) bool { return true },
 	}
 	n.quarantine = newQuarantineManager(n)
@@ -468,7 +468,7 @@
 	took := time.Since(c.started)
 	n.latencies.Observe(c.rank.Class().String(), code.String(), took)
 	if c.depth == 0 {
-		n.burn.Add(c.rootTarget, time.Now(), code == fault.None && took <= c.policy.ObjectiveWithin, code)
+		n.burn.Record(c.rootTarget, time.Now(), code == fault.None && took <= c.policy.ObjectiveWithin, code)
 	}
 	sampled := code == fault.None && n.stats.servedRequests.Add(1)%servedTraceEvery == 0
 	n.logRequest(c, code, run, took, sampled)
--- a/internal/node/statemachine.go
+++ b/internal/node/statemachine.go
@@ -35,7 +35,7 @@
 	if err := msgpack.Unmarshal(command, &c); err != nil {
 		return nil, fault.Wrap(fault.BadRequest, err, "malformed change")
 	}
-	if r, ok := m.store.Known(c.ID); ok {
+	if r, ok := m.store.LookupResult(c.ID); ok {
 		return encodeMsgpack(&r), nil
 	}
 	if c.Base != m.store.Version() {
@@ -64,7 +64,7 @@
 	before := m.store.Version()
 	r := m.store.Apply(c)
 	if m.store.Version() != before {
-		changes, _ := m.store.Since(before)
+		changes, _ := m.store.ChangesSince(before)
 		m.node.applyChanges(changes)
 	}
 	return encodeMsgpack(&r)
@@ -82,7 +82,7 @@
 		return err
 	}
 	m.store = store
-	if changes, ok := store.Since(m.node.conf.Load().version); ok {
+	if changes, ok := store.ChangesSince(m.node.conf.Load().version); ok {
 		m.node.applyChanges(changes)
 	}
 	m.node.applyDocument(store.Version(), store.Entries())
--- a/settings/routes_test.go
+++ b/settings/routes_test.go
@@ -6,7 +6,7 @@
 	"github.com/onsi/gomega"
 )
 
-const routed = `
+const routesDocument = `
 [fleet.f.service.east.kind.split]
 host = "Calls.example"
 path_prefix = "/a/"
@@ -20,12 +20,12 @@
 path_prefix = "/a/b/"
 `
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestMatchRouteUsesLongestPrefix(t *testing.T) {
 	g := gomega.NewWithT(t)
-	tree, err := ParseTOML([]byte(routed))
+	tree, err := ParseTOML([]byte(routesDocument))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	for path, want := range map[string]string{"/a/": "/a/", "/a/x/y": "/a/", "/a/b": "/a/", "/a/b/": "/a/b/", "/a/b/c": "/a/b/", "/": "", "": "", "/ab/": ""} {
-		r := tree.Route("CALLS.example:8080", path)
+		r := tree.MatchRoute("CALLS.example:8080", path)
 		if want == "" {
 			g.Expect(r).To(gomega.BeNil(), path)
 			continue
@@ -33,32 +33,32 @@
 		g.Expect(r).NotTo(gomega.BeNil(), path)
 		g.Expect(r.Prefix).To(gomega.Equal(want), path)
 	}
-	g.Expect(tree.Route("other.example", "/a/")).To(gomega.BeNil())
+	g.Expect(tree.MatchRoute("other.example", "/a/")).To(gomega.BeNil())
 }
 
-// TestSplitKeepsItsWeightsOverFewRequests: a part is within a hundredth of its
-// weight after 200 requests.
-func TestSplitKeepsItsWeightsOverFewRequests(t *testing.T) {
+// TestSelectTargetFollowsWeightsOverFewRequests checks that a target's share is
+// within 0.01 of its weight after 200 requests.
+func TestSelectTargetFollowsWeightsOverFewRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
-	tree, err := ParseTOML([]byte(routed))
+	tree, err := ParseTOML([]byte(routesDocument))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	r := tree.Route("calls.example", "/a/")
+	r := tree.MatchRoute("calls.example", "/a/")
 	west := 0
 	for range 200 {
-		if r.Draw().Scope == "f/west/split" {
+		if r.SelectTarget().Scope == "f/west/split" {
 			west++
 		}
 	}
 	g.Expect(west).To(gomega.BeNumerically("~", 20, 2))
 }
 
-// TestChangeOfAServiceReachesItsRoutes: a route's policy is never that of an
-// earlier version.
-func TestChangeOfAServiceReachesItsRoutes(t *testing.T) {
+// TestApplyUpdatesRoutePolicies guards against a route that keeps the policy of
+// an earlier version.
+func TestApplyUpdatesRoutePolicies(t *testing.T) {
 	g := gomega.NewWithT(t)
-	tree, err := ParseTOML([]byte(routed))
+	tree, err := ParseTOML([]byte(routesDocument))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	next, err := tree.Apply(Patch{Set: Entries{"f/west#deadline": "7s"}})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(next.Route("calls.example", "/a/b/").Targets[0].Policy.Deadline.Seconds()).To(gomega.Equal(7.0))
+	g.Expect(next.MatchRoute("calls.example", "/a/b/").Targets[0].Policy.Deadline.Seconds()).To(gomega.Equal(7.0))
 }
