--- a/gossip/core.go
+++ b/gossip/core.go
@@ -95,7 +95,7 @@
 }
 
 // Out is a packet to send.
-type Out struct {
+type OutgoingPacket struct {
 	Addr   string
 	Packet Packet
 }
@@ -115,7 +115,7 @@
 	next    int
 	store   *store
 	queue   []broadcast
-	outs    []Out
+	outs    []OutgoingPacket
 	events  []Event
 	// news counts the changes learnt that decide over routing.
 	news int
@@ -207,7 +207,7 @@
 }
 
 // Take returns the packets to send and the events since the last call.
-func (c *Core) Take() ([]Out, []Event) {
+func (c *Core) Take() ([]OutgoingPacket, []Event) {
 	outs, events := c.outs, c.events
 	c.outs, c.events = nil, nil
 	return outs, events
--- a/gossip/probe.go
+++ b/gossip/probe.go
@@ -144,7 +144,7 @@
 	if s == nil || s.Status == Alive || s.Status == Leaving {
 		return
 	}
-	c.outs = append(c.outs, Out{addr, Packet{Kind: Ack, From: c.self.ID, Records: []Record{memberRecord(s.Member)}}})
+	c.outs = append(c.outs, OutgoingPacket{addr, Packet{Kind: Ack, From: c.self.ID, Records: []Record{memberRecord(s.Member)}}})
 }
 
 func (c *Core) ack(now time.Duration, p Packet) {
@@ -172,7 +172,7 @@
 func (c *Core) send(addr string, p Packet) {
 	p.From = c.self.ID
 	p.Records = c.riders()
-	c.outs = append(c.outs, Out{addr, p})
+	c.outs = append(c.outs, OutgoingPacket{addr, p})
 }
 
 // recordOverhead is what a record costs in a packet beside key and payload.
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -135,7 +135,7 @@
 	g.nextPublish = now + publishShare*(g.n.clock()-now)
 }
 
-func (g *gossiper) send(o gossip.Out) {
+func (g *gossiper) send(o gossip.OutgoingPacket) {
 	o.Packet.Config = g.n.conf.Load().version
 	b := gossip.EncodePacket(o.Packet)
 	addr, err := net.ResolveUDPAddr("udp", o.Addr)
