--- a/gossip/core.go
+++ b/gossip/core.go
@@ -50,7 +50,7 @@
 // Options are the settings of a Core. All durations must be positive.
 type Options struct {
 	// Period is the time between two probes.
-	Period time.Duration
+	ProbeInterval time.Duration
 	// AckTimeout is how long a direct probe may take, less than Period.
 	AckTimeout time.Duration
 	// Suspicion is how long a suspect may object.
--- a/gossip/probe.go
+++ b/gossip/probe.go
@@ -11,10 +11,10 @@
 func (c *Core) Tick(now time.Duration) {
 	c.checkProbe(now)
 	if now >= c.nextProbe {
-		c.nextProbe = now + c.opt.Period
+		c.nextProbe = now + c.opt.ProbeInterval
 		c.startProbe(now)
 	}
-	if now-c.scanned >= c.opt.Period {
+	if now-c.scanned >= c.opt.ProbeInterval {
 		c.scanned = now
 		c.scan(now)
 	}
@@ -130,7 +130,7 @@
 		c.reassure(addr, p.From)
 	case PingFor:
 		c.seq++
-		c.relays[c.seq] = relay{addr, p.Seq, now + c.opt.Period}
+		c.relays[c.seq] = relay{addr, p.Seq, now + c.opt.ProbeInterval}
 		c.send(p.Target, Packet{Kind: Ping, Seq: c.seq})
 	case Ack:
 		c.ack(now, p)
