--- a/gossip/core.go
+++ b/gossip/core.go
@@ -54,7 +54,7 @@
 	// AckTimeout is how long a direct probe may take, less than Period.
 	AckTimeout time.Duration
 	// Suspicion is how long a suspect may object.
-	Suspicion time.Duration
+	SuspicionTimeout time.Duration
 	// Forget is how long a dead member is remembered, so that late packets
 	// do not bring it back.
 	Forget time.Duration
--- a/gossip/probe.go
+++ b/gossip/probe.go
@@ -26,7 +26,7 @@
 		s := c.members[id]
 		age := now - s.since
 		switch {
-		case s.Status == Suspect && age >= c.opt.Suspicion:
+		case s.Status == Suspect && age >= c.opt.SuspicionTimeout:
 			c.setStatus(now, s, Dead)
 		case s.Status == Leaving && age >= c.opt.Forget:
 			c.setStatus(now, s, Dead)
