--- a/discovery/fleet_test.go
+++ b/discovery/fleet_test.go
@@ -111,7 +111,7 @@
 		members: map[string]gossip.Member{}, links: map[string]member.Link{}, learned: map[string]string{}, askers: map[string][]string{},
 	}
 	p.gossip = gossip.New(gossip.Member{ID: p.id, Addr: addr}, gossip.Options{
-		ProbeInterval: 500 * time.Millisecond, AckTimeout: 150 * time.Millisecond, SuspicionTimeout: 2 * time.Second, Forget: 30 * time.Second,
+		ProbeInterval: 500 * time.Millisecond, AckTimeout: 150 * time.Millisecond, SuspicionTimeout: 2 * time.Second, DepartedRetention: 30 * time.Second,
 		Indirect: 3, PacketBytes: 1100, Rand: f.rng,
 	})
 	p.finder = New(Options{Self: addr, Domain: domain, Rand: f.rng})
--- a/gossip/core.go
+++ b/gossip/core.go
@@ -57,7 +57,7 @@
 	SuspicionTimeout time.Duration
 	// Forget is how long a dead member is remembered, so that late packets
 	// do not bring it back.
-	Forget time.Duration
+	DepartedRetention time.Duration
 	// Indirect is how many others are asked to probe a silent member.
 	Indirect int
 	// PacketBytes bounds the records that ride on one packet.
--- a/gossip/probe.go
+++ b/gossip/probe.go
@@ -28,9 +28,9 @@
 		switch {
 		case s.Status == Suspect && age >= c.opt.SuspicionTimeout:
 			c.setStatus(now, s, Dead)
-		case s.Status == Leaving && age >= c.opt.Forget:
+		case s.Status == Leaving && age >= c.opt.DepartedRetention:
 			c.setStatus(now, s, Dead)
-		case s.Status == Dead && age >= c.opt.Forget:
+		case s.Status == Dead && age >= c.opt.DepartedRetention:
 			c.forget(id)
 		}
 	}
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -70,7 +70,7 @@
 func newGossiper(n *Node) *gossiper {
 	self := gossip.Member{ID: n.id, Addr: n.opt.AdvertiseControl}
 	core := gossip.New(self, gossip.Options{
-		ProbeInterval: gossipPeriod, AckTimeout: ackTimeout, SuspicionTimeout: suspicion, Forget: forgetAfter,
+		ProbeInterval: gossipPeriod, AckTimeout: ackTimeout, SuspicionTimeout: suspicion, DepartedRetention: forgetAfter,
 		Indirect: indirectProbes, PacketBytes: packetBytes, Urgent: member.IsEnded, Rand: newRand(),
 	})
 	return &gossiper{
--- a/internal/study/domain.go
+++ b/internal/study/domain.go
@@ -79,7 +79,7 @@
 	d.starts++
 	n := &node{id: fmt.Sprintf("%016x", d.starts), addr: addr, dead: map[string]bool{}}
 	n.core = gossip.New(gossip.Member{ID: n.id, Addr: addr, Meta: make([]byte, metaSize)}, gossip.Options{
-		ProbeInterval: period, AckTimeout: ackTimeout, SuspicionTimeout: suspicion, Forget: forget,
+		ProbeInterval: period, AckTimeout: ackTimeout, SuspicionTimeout: suspicion, DepartedRetention: forget,
 		Indirect: indirect, PacketBytes: packetSize, Rand: d.rng,
 	})
 	d.nodes[addr] = n
