--- a/gossip/core.go
+++ b/gossip/core.go
@@ -59,7 +59,7 @@
 	// do not bring it back.
 	DepartedRetention time.Duration
 	// Indirect is how many others are asked to probe a silent member.
-	Indirect int
+	IndirectProbes int
 	// PacketBytes bounds the records that ride on one packet.
 	PacketBytes int
 	// Urgent tells by its key which record that is not about a member is handed on at
--- a/gossip/probe.go
+++ b/gossip/probe.go
@@ -108,7 +108,7 @@
 	}
 	from := c.opt.Rand.IntN(n)
 	asked := 0
-	for i := 0; i < n && asked < c.opt.Indirect; i++ {
+	for i := 0; i < n && asked < c.opt.IndirectProbes; i++ {
 		s := c.members[c.order[(from+i)%n]]
 		if s.ID == p.id || s.Status != Alive {
 			continue
