--- a/discovery/fleet_test.go
+++ b/discovery/fleet_test.go
@@ -112,7 +112,7 @@
 	}
 	p.gossip = gossip.New(gossip.Member{ID: p.id, Addr: addr}, gossip.Options{
 		ProbeInterval: 500 * time.Millisecond, AckTimeout: 150 * time.Millisecond, SuspicionTimeout: 2 * time.Second, DepartedRetention: 30 * time.Second,
-		IndirectProbes: 3, PacketBytes: 1100, Rand: f.rng,
+		IndirectProbes: 3, MaxPiggybackBytes: 1100, Rand: f.rng,
 	})
 	p.finder = New(Options{Self: addr, Domain: domain, Rand: f.rng})
 	p.finder.SetBootstrap(f.seeds)
--- a/gossip/core.go
+++ b/gossip/core.go
@@ -61,7 +61,7 @@
 	// Indirect is how many others are asked to probe a silent member.
 	IndirectProbes int
 	// PacketBytes bounds the records that ride on one packet.
-	PacketBytes int
+	MaxPiggybackBytes int
 	// Urgent tells by its key which record that is not about a member is handed on at
 	// once, as news of members is; nil for none.
 	Urgent func(key string) bool
--- a/gossip/probe.go
+++ b/gossip/probe.go
@@ -182,7 +182,7 @@
 // turns over, up to the room in one packet.
 func (c *Core) riders() []Record {
 	var out []Record
-	room := c.opt.PacketBytes
+	room := c.opt.MaxPiggybackBytes
 	kept := c.queue[:0]
 	var again []broadcast
 	for _, b := range c.queue {
--- a/internal/study/domain.go
+++ b/internal/study/domain.go
@@ -80,7 +80,7 @@
 	n := &node{id: fmt.Sprintf("%016x", d.starts), addr: addr, dead: map[string]bool{}}
 	n.core = gossip.New(gossip.Member{ID: n.id, Addr: addr, Meta: make([]byte, metaSize)}, gossip.Options{
 		ProbeInterval: period, AckTimeout: ackTimeout, SuspicionTimeout: suspicion, DepartedRetention: forget,
-		IndirectProbes: indirect, PacketBytes: packetSize, Rand: d.rng,
+		IndirectProbes: indirect, MaxPiggybackBytes: packetSize, Rand: d.rng,
 	})
 	d.nodes[addr] = n
 	return n
