--- a/gossip/core.go
+++ b/gossip/core.go
@@ -64,7 +64,7 @@
 	MaxPiggybackBytes int
 	// Urgent tells by its key which record that is not about a member is handed on at
 	// once, as news of members is; nil for none.
-	Urgent func(key string) bool
+	IsUrgent func(key string) bool
 	// Rand is the source of choices.
 	Rand *rand.Rand
 }
@@ -284,7 +284,7 @@
 // receive takes over a record from another node.
 func (c *Core) receive(now time.Duration, r Record) {
 	if !isMember(r.Key) {
-		if c.accept(r) && c.opt.Urgent != nil && c.opt.Urgent(r.Key) {
+		if c.accept(r) && c.opt.IsUrgent != nil && c.opt.IsUrgent(r.Key) {
 			c.news++
 		}
 		return
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -29,7 +29,7 @@
 	return Options{
 		ProbeInterval: 500 * time.Millisecond, AckTimeout: 150 * time.Millisecond, SuspicionTimeout: 2 * time.Second,
 		DepartedRetention: 30 * time.Second, IndirectProbes: 3, MaxPiggybackBytes: 1100, Rand: rng,
-		Urgent: func(key string) bool { return strings.HasPrefix(key, urgentPrefix) },
+		IsUrgent: func(key string) bool { return strings.HasPrefix(key, urgentPrefix) },
 	}
 }
 
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -71,7 +71,7 @@
 	self := gossip.Member{ID: n.id, Addr: n.opt.AdvertiseControl}
 	core := gossip.New(self, gossip.Options{
 		ProbeInterval: gossipPeriod, AckTimeout: ackTimeout, SuspicionTimeout: suspicion, DepartedRetention: forgetAfter,
-		IndirectProbes: indirectProbes, MaxPiggybackBytes: packetBytes, Urgent: member.IsEnded, Rand: newRand(),
+		IndirectProbes: indirectProbes, MaxPiggybackBytes: packetBytes, IsUrgent: member.IsEnded, Rand: newRand(),
 	})
 	return &gossiper{
 		n: n, core: core, tables: newTables(n), packets: ring.New[datagram](packetRing), fetches: ring.New[behind](fetchRing),
