--- a/discovery/fleet_test.go
+++ b/discovery/fleet_test.go
@@ -261,7 +261,7 @@
 		return
 	}
 	p.version = version
-	p.gossip.Nudge(simNudges)
+	p.gossip.PingRandom(simNudges)
 	p.work()
 	p.exchangeAll()
 }
--- a/discovery/reunion_test.go
+++ b/discovery/reunion_test.go
@@ -134,7 +134,7 @@
 		r.run(8*time.Second + time.Duration(r.rng.Int64N(int64(10*time.Second))))
 		for _, addr := range r.replicas {
 			r.at[addr].gossip.Leave()
-			r.at[addr].gossip.Nudge(2 * simNudges)
+			r.at[addr].gossip.PingRandom(2 * simNudges)
 			r.at[addr].work()
 		}
 		r.run(time.Second)
--- a/gossip/core.go
+++ b/gossip/core.go
@@ -215,7 +215,7 @@
 
 // Nudge sends a packet to n random members at once, so that news does not wait
 // for the next probe.
-func (c *Core) Nudge(n int) {
+func (c *Core) PingRandom(n int) {
 	if len(c.order) == 0 {
 		return
 	}
@@ -342,7 +342,7 @@
 // handOnNews hands on what was learnt with one packet or Sync.
 func (c *Core) handOnNews() {
 	if c.news > 0 && c.news <= fewNews {
-		c.Nudge(handOn)
+		c.PingRandom(handOn)
 	}
 	c.news = 0
 }
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -145,7 +145,7 @@
 	w := newWorld(8, 3)
 	w.run(3 * time.Second)
 	w.cores["n003"].Leave()
-	w.cores["n003"].Nudge(3)
+	w.cores["n003"].PingRandom(3)
 	w.run(time.Second)
 	for _, id := range w.ids {
 		if id != "n003" {
@@ -269,7 +269,7 @@
 		w.run(20 * time.Second)
 		first := w.cores[w.ids[0]]
 		first.Publish(Record{Key: key, Stamp: 1, Payload: make([]byte, 500)})
-		first.Nudge(3)
+		first.PingRandom(3)
 		w.run(4 * tick)
 		n := 0
 		for _, c := range w.cores {
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -247,14 +247,14 @@
 func (g *gossiper) metaChanged() {
 	g.post(func() {
 		g.core.SetMeta(g.n.meta().Encode())
-		g.core.Nudge(nudges)
+		g.core.PingRandom(nudges)
 		g.stale = true
 	})
 }
 
 func (g *gossiper) configChanged(version uint64) {
 	g.noteHighest(version)
-	go g.post(func() { g.core.Nudge(nudges) })
+	go g.post(func() { g.core.PingRandom(nudges) })
 	g.nudgeLinks()
 }
 
@@ -268,7 +268,7 @@
 func (g *gossiper) leave() {
 	g.do(func() {
 		g.core.Leave()
-		g.core.Nudge(2 * nudges)
+		g.core.PingRandom(2 * nudges)
 		g.stale = true
 	})
 	g.nudgeLinks()
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -134,7 +134,7 @@
 			}
 			if n.gossip.core.Publish(r) && member.IsEnded(r.Key) {
 				// A request that ends servers must not wait for the next probe.
-				n.gossip.core.Nudge(nudges)
+				n.gossip.core.PingRandom(nudges)
 			}
 		}
 	})
--- a/internal/study/domain.go
+++ b/internal/study/domain.go
@@ -188,7 +188,7 @@
 
 func (d *domain) force(n *node, version uint64) {
 	n.version = version
-	n.core.Nudge(nudges)
+	n.core.PingRandom(nudges)
 	d.work(n)
 }
 
