--- a/discovery/fleet_test.go
+++ b/discovery/fleet_test.go
@@ -175,7 +175,7 @@
 
 // work sends what the gossip core wants sent and takes in its events.
 func (p *process) work() {
-	outs, events := p.gossip.Take()
+	outs, events := p.gossip.TakeOutput()
 	for _, o := range outs {
 		o.Packet.Config = uint64(p.version)
 		if p.f.rng.Float64() < simLoss {
--- a/gossip/bench_test.go
+++ b/gossip/bench_test.go
@@ -22,7 +22,7 @@
 		}
 	}
 	c.queue = nil
-	c.Take()
+	c.TakeOutput()
 	return c
 }
 
@@ -35,7 +35,7 @@
 		c.Tick(now)
 		c.Receive(now, "10.0.0.2:7002", Packet{Kind: Ping, From: fmt.Sprintf("%016x", 1), Seq: 1})
 		c.Receive(now, "10.0.0.2:7002", Packet{Kind: Ack, From: fmt.Sprintf("%016x", 1), Seq: c.seq})
-		c.Take()
+		c.TakeOutput()
 	}
 }
 
--- a/gossip/core.go
+++ b/gossip/core.go
@@ -207,7 +207,7 @@
 }
 
 // Take returns the packets to send and the events since the last call.
-func (c *Core) Take() ([]OutgoingPacket, []Event) {
+func (c *Core) TakeOutput() ([]OutgoingPacket, []Event) {
 	outs, events := c.outs, c.events
 	c.outs, c.events = nil, nil
 	return outs, events
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -83,7 +83,7 @@
 	for more := true; more; {
 		more = false
 		for _, id := range w.ids {
-			outs, _ := w.cores[id].Take()
+			outs, _ := w.cores[id].TakeOutput()
 			for _, o := range outs {
 				more = true
 				w.bytes[id] += len(EncodePacket(o.Packet))
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -109,7 +109,7 @@
 
 // work sends what the core wants sent and takes in its events.
 func (g *gossiper) work() {
-	outs, events := g.core.Take()
+	outs, events := g.core.TakeOutput()
 	for _, o := range outs {
 		g.send(o)
 	}
--- a/internal/study/domain.go
+++ b/internal/study/domain.go
@@ -125,7 +125,7 @@
 
 // work sends what a core wants sent and takes in its events.
 func (d *domain) work(n *node) {
-	outs, events := n.core.Take()
+	outs, events := n.core.TakeOutput()
 	for _, o := range outs {
 		o.Packet.Config = n.version
 		d.bytes += len(gossip.EncodePacket(o.Packet))
