--- a/gossip/core.go
+++ b/gossip/core.go
@@ -196,7 +196,7 @@
 }
 
 // Len returns the number of other members that are not dead.
-func (c *Core) Len() int {
+func (c *Core) LiveCount() int {
 	n := 0
 	for _, m := range c.members {
 		if m.Status != Dead {
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -111,7 +111,7 @@
 	w := newWorld(20, 1)
 	w.run(10 * time.Second)
 	for _, id := range w.ids {
-		g.Expect(w.cores[id].Len()).To(gomega.Equal(19), id)
+		g.Expect(w.cores[id].LiveCount()).To(gomega.Equal(19), id)
 	}
 	w.frozen["n007"] = true
 	w.run(12 * time.Second)
@@ -136,7 +136,7 @@
 	w.cut["n001n002"] = true
 	w.run(20 * time.Second)
 	for _, id := range w.ids {
-		g.Expect(w.cores[id].Len()).To(gomega.Equal(11), id)
+		g.Expect(w.cores[id].LiveCount()).To(gomega.Equal(11), id)
 	}
 }
 
@@ -186,7 +186,7 @@
 		w.run(40 * time.Second)
 		first, _ := w.cores[w.ids[0]].Get("s/x")
 		for _, id := range w.ids {
-			if n := w.cores[id].Len(); n != len(w.ids)-1 {
+			if n := w.cores[id].LiveCount(); n != len(w.ids)-1 {
 				t.Fatalf("%s sees %d of %d", id, n, len(w.ids)-1)
 			}
 			if r, _ := w.cores[id].Get("s/x"); r.Stamp != first.Stamp {
