--- a/discovery/fleet_test.go
+++ b/discovery/fleet_test.go
@@ -314,7 +314,7 @@
 // differing returns the records that a process may lack, in one order for each
 // seed.
 func (p *process) differing(d gossip.Digest) []gossip.Record {
-	records := p.gossip.Differing(d)
+	records := p.gossip.DifferingRecords(d)
 	slices.SortFunc(records, func(a, b gossip.Record) int { return strings.Compare(a.Key, b.Key) })
 	return records
 }
--- a/gossip/core.go
+++ b/gossip/core.go
@@ -235,7 +235,7 @@
 func (c *Core) Digest() Digest { return c.store.digest }
 
 // Differing returns the records that a node with digest d may lack.
-func (c *Core) Differing(d Digest) []Record { return c.store.differing(d) }
+func (c *Core) DifferingRecords(d Digest) []Record { return c.store.differing(d) }
 
 // Merge takes over the records of a Sync.
 func (c *Core) Merge(now time.Duration, rs []Record) {
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -59,7 +59,7 @@
 	}
 	ca, cb := w.cores[a], w.cores[b]
 	da, db := ca.Digest(), cb.Digest()
-	ra, rb := ca.Differing(db), cb.Differing(da)
+	ra, rb := ca.DifferingRecords(db), cb.DifferingRecords(da)
 	ca.Merge(w.now, rb)
 	cb.Merge(w.now, ra)
 }
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -112,7 +112,7 @@
 	}
 	n.gossip.do(func() {
 		n.gossip.core.Merge(n.clock(), req.Records)
-		reply.Records = n.gossip.core.Differing(req.Digest)
+		reply.Records = n.gossip.core.DifferingRecords(req.Digest)
 		reply.Digest = n.gossip.core.Digest()
 	})
 	return nil
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -344,7 +344,7 @@
 	var mine []gossip.Record
 	g.do(func() {
 		g.core.Merge(g.n.clock(), reply.Records)
-		mine = g.core.Differing(reply.Digest)
+		mine = g.core.DifferingRecords(reply.Digest)
 	})
 	if len(mine) == 0 {
 		return answer, nil
--- a/internal/study/domain.go
+++ b/internal/study/domain.go
@@ -199,7 +199,7 @@
 		return
 	}
 	mine, theirs := n.core.Digest(), q.core.Digest()
-	give, take := n.core.Differing(theirs), q.core.Differing(mine)
+	give, take := n.core.DifferingRecords(theirs), q.core.DifferingRecords(mine)
 	n.core.Merge(d.now, sorted(take))
 	q.core.Merge(d.now, sorted(give))
 	d.work(n)
