--- a/discovery/fleet_test.go
+++ b/discovery/fleet_test.go
@@ -301,11 +301,11 @@
 			p.learned[answer.Domain] = t.Addr
 			return
 		}
-		p.gossip.Merge(p.clock(), records)
+		p.gossip.MergeRecords(p.clock(), records)
 		back := p.differing(theirs)
 		p.work()
 		p.call(t.Addr, t.Timeout, func(q *process) {
-			q.gossip.Merge(q.clock(), back)
+			q.gossip.MergeRecords(q.clock(), back)
 			q.work()
 		}, func() {}, func() {})
 	}, func() { p.finder.Failed(t.Addr) })
--- a/gossip/bench_test.go
+++ b/gossip/bench_test.go
@@ -14,11 +14,11 @@
 	c := New(Member{ID: "self", Addr: "10.0.0.1:7002"}, options(rand.New(rand.NewPCG(1, 1))))
 	for i := range members {
 		m := Member{ID: fmt.Sprintf("%016x", i), Addr: fmt.Sprintf("10.0.%d.%d:7002", i/250, i%250), Meta: make([]byte, 120)}
-		c.Merge(0, []Record{memberRecord(m)})
+		c.MergeRecords(0, []Record{memberRecord(m)})
 	}
 	for d := range 21 {
 		for s := range 150 {
-			c.Merge(0, []Record{{Key: fmt.Sprintf("s/domain-%d/fleet/service-%d", d, s), Stamp: 1, Payload: make([]byte, 300)}})
+			c.MergeRecords(0, []Record{{Key: fmt.Sprintf("s/domain-%d/fleet/service-%d", d, s), Stamp: 1, Payload: make([]byte, 300)}})
 		}
 	}
 	c.queue = nil
--- a/gossip/core.go
+++ b/gossip/core.go
@@ -238,7 +238,7 @@
 func (c *Core) DifferingRecords(d Digest) []Record { return c.store.differing(d) }
 
 // Merge takes over the records of a Sync.
-func (c *Core) Merge(now time.Duration, rs []Record) {
+func (c *Core) MergeRecords(now time.Duration, rs []Record) {
 	for _, r := range rs {
 		c.receive(now, r)
 	}
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -60,8 +60,8 @@
 	ca, cb := w.cores[a], w.cores[b]
 	da, db := ca.Digest(), cb.Digest()
 	ra, rb := ca.DifferingRecords(db), cb.DifferingRecords(da)
-	ca.Merge(w.now, rb)
-	cb.Merge(w.now, ra)
+	ca.MergeRecords(w.now, rb)
+	cb.MergeRecords(w.now, ra)
 }
 
 func (w *world) run(d time.Duration) {
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -111,7 +111,7 @@
 		return nil
 	}
 	n.gossip.do(func() {
-		n.gossip.core.Merge(n.clock(), req.Records)
+		n.gossip.core.MergeRecords(n.clock(), req.Records)
 		reply.Records = n.gossip.core.DifferingRecords(req.Digest)
 		reply.Digest = n.gossip.core.Digest()
 	})
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -343,7 +343,7 @@
 	}
 	var mine []gossip.Record
 	g.do(func() {
-		g.core.Merge(g.n.clock(), reply.Records)
+		g.core.MergeRecords(g.n.clock(), reply.Records)
 		mine = g.core.DifferingRecords(reply.Digest)
 	})
 	if len(mine) == 0 {
--- a/internal/study/domain.go
+++ b/internal/study/domain.go
@@ -69,7 +69,7 @@
 		}
 	}
 	for _, addr := range d.addrs {
-		d.nodes[addr].core.Merge(0, all)
+		d.nodes[addr].core.MergeRecords(0, all)
 	}
 	return d
 }
@@ -200,8 +200,8 @@
 	}
 	mine, theirs := n.core.Digest(), q.core.Digest()
 	give, take := n.core.DifferingRecords(theirs), q.core.DifferingRecords(mine)
-	n.core.Merge(d.now, sorted(take))
-	q.core.Merge(d.now, sorted(give))
+	n.core.MergeRecords(d.now, sorted(take))
+	q.core.MergeRecords(d.now, sorted(give))
 	d.work(n)
 	d.work(q)
 }
