--- a/discovery/fleet_test.go
+++ b/discovery/fleet_test.go
@@ -239,7 +239,7 @@
 	if m, ok := p.members[k.From]; ok {
 		p.heard(m.Addr, int(k.Config))
 	}
-	p.gossip.Receive(p.clock(), addr, k)
+	p.gossip.HandlePacket(p.clock(), addr, k)
 	p.work()
 }
 
--- a/gossip/bench_test.go
+++ b/gossip/bench_test.go
@@ -33,8 +33,8 @@
 	for b.Loop() {
 		now += 500 * time.Millisecond
 		c.Tick(now)
-		c.Receive(now, "10.0.0.2:7002", Packet{Kind: Ping, From: fmt.Sprintf("%016x", 1), Seq: 1})
-		c.Receive(now, "10.0.0.2:7002", Packet{Kind: Ack, From: fmt.Sprintf("%016x", 1), Seq: c.seq})
+		c.HandlePacket(now, "10.0.0.2:7002", Packet{Kind: Ping, From: fmt.Sprintf("%016x", 1), Seq: 1})
+		c.HandlePacket(now, "10.0.0.2:7002", Packet{Kind: Ack, From: fmt.Sprintf("%016x", 1), Seq: c.seq})
 		c.TakeOutput()
 	}
 }
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -90,7 +90,7 @@
 				if w.frozen[o.Addr] || w.cut[id+o.Addr] || w.rng.Float64() < w.loss {
 					continue
 				}
-				w.cores[o.Addr].Receive(w.now, id, o.Packet)
+				w.cores[o.Addr].HandlePacket(w.now, id, o.Packet)
 			}
 		}
 	}
@@ -223,7 +223,7 @@
 			return
 		}
 		c := New(Member{ID: "x", Addr: "x"}, options(rand.New(rand.NewPCG(1, 1))))
-		c.Receive(0, "y", p)
+		c.HandlePacket(0, "y", p)
 		c.Tick(time.Second)
 	})
 }
--- a/gossip/probe.go
+++ b/gossip/probe.go
@@ -119,7 +119,7 @@
 }
 
 // Receive takes a packet in. addr is where it came from.
-func (c *Core) Receive(now time.Duration, addr string, p Packet) {
+func (c *Core) HandlePacket(now time.Duration, addr string, p Packet) {
 	for _, r := range p.Records {
 		c.receive(now, r)
 	}
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -97,7 +97,7 @@
 		case <-g.n.stop:
 			return
 		case d := <-g.packets.C():
-			g.core.Receive(g.n.clock(), d.addr, d.packet)
+			g.core.HandlePacket(g.n.clock(), d.addr, d.packet)
 		case f := <-g.commands:
 			f()
 		case <-t.C:
--- a/internal/study/domain.go
+++ b/internal/study/domain.go
@@ -165,7 +165,7 @@
 	if n == nil {
 		return
 	}
-	n.core.Receive(d.now, from, p)
+	n.core.HandlePacket(d.now, from, p)
 	if p.Config > n.version {
 		d.fetch(n, from)
 	}
