--- a/gossip/bench_test.go
+++ b/gossip/bench_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// domain is a core at the size of two years from now: 1,091 members of its
-// failure domain, and summaries of 150 services in each of 21 others.
-func domain(members int) *Core {
-	c := New(Member{ID: "self", Addr: "10.0.0.1:7002"}, options(rand.New(rand.NewPCG(1, 1))))
+// newLoadedCore returns a core that knows the given number of members and the summaries
+// of 150 services in each of 21 other failure domains.
+func newLoadedCore(members int) *Core {
+	c := New(Member{ID: "self", Addr: "10.0.0.1:7002"}, testOptions(rand.New(rand.NewPCG(1, 1))))
 	for i := range members {
 		m := Member{ID: fmt.Sprintf("%016x", i), Addr: fmt.Sprintf("10.0.%d.%d:7002", i/250, i%250), Meta: make([]byte, 120)}
 		c.MergeRecords(0, []Record{memberRecord(m)})
@@ -21,13 +21,13 @@
 			c.MergeRecords(0, []Record{{Key: fmt.Sprintf("s/domain-%d/fleet/service-%d", d, s), Stamp: 1, Payload: make([]byte, 300)}})
 		}
 	}
-	c.queue = nil
+	c.broadcasts = nil
 	c.TakeOutput()
 	return c
 }
 
 func BenchmarkProbeRound1091Members(b *testing.B) {
-	c := domain(1091)
+	c := newLoadedCore(1091)
 	now := time.Duration(0)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -39,8 +39,8 @@
 	}
 }
 
-// BenchmarkMemory24000Members builds the cores of 22 failure domains with all
-// 24,000 members' records, one core for each domain, and reports their memory.
+// BenchmarkMemory24000Members reports the memory per core of 22 cores that each know the
+// 1,091 members of one failure domain.
 func BenchmarkMemory24000Members(b *testing.B) {
 	for b.Loop() {
 		var before, after runtime.MemStats
@@ -48,7 +48,7 @@
 		runtime.ReadMemStats(&before)
 		var cores []*Core
 		for range 22 {
-			cores = append(cores, domain(1091))
+			cores = append(cores, newLoadedCore(1091))
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/gossip/core.go
+++ b/gossip/core.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// Status is what is known of a member.
+// Status is the liveness state of a member.
 type Status uint8
 
-// The statuses, in the order in which a later one overrides an earlier one of
-// the same incarnation.
+// The statuses in order of precedence: within one incarnation a later one overrides an
+// earlier one.
 const (
 	Alive Status = iota
 	Suspect
@@ -22,7 +22,7 @@
 
 var statusNames = [...]string{"alive", "suspect", "leaving", "dead"}
 
-// String returns the status in words.
+// String returns the name of the status.
 func (s Status) String() string {
 	if int(s) >= len(statusNames) {
 		return "invalid"
@@ -30,162 +30,179 @@
 	return statusNames[s]
 }
 
-// Member is a node as the others know it.
+// Member describes a node of the failure domain.
 type Member struct {
-	// ID is unique to the process, not to the instance.
+	// ID identifies the process; a restarted node has a new one.
 	ID string
-	// Addr is where the member takes packets.
+	// Addr is the address at which the member receives packets.
 	Addr string
-	// Status is what is known of it.
+	// Status is the member's liveness state.
 	Status Status
-	// Incarnation is raised only by the member itself.
+	// Incarnation is the version of the member's own record; only the member raises it.
 	Incarnation uint64
-	// Meta is what the member says of itself.
+	// Meta is the application data that the member publishes about itself.
 	Meta []byte
 }
 
-// memberPrefix begins the keys of member records.
+// memberPrefix is the key prefix of member records.
 const memberPrefix = "m/"
 
-// Options are the settings of a Core. All durations must be positive.
+// Options configures a Core. All durations must be positive.
 type Options struct {
-	// Period is the time between two probes.
+	// ProbeInterval is the time between two probes.
 	ProbeInterval time.Duration
-	// AckTimeout is how long a direct probe may take, less than Period.
+	// AckTimeout bounds a direct probe. It must be less than ProbeInterval.
 	AckTimeout time.Duration
-	// Suspicion is how long a suspect may object.
+	// SuspicionTimeout is the time within which a suspected member must refute the
+	// suspicion before it is declared dead.
 	SuspicionTimeout time.Duration
-	// Forget is how long a dead member is remembered, so that late packets
-	// do not bring it back.
+	// DepartedRetention is how long a leaving member stays in that status before it
+	// counts as dead, and how long a dead member is kept so that late packets do not
+	// bring it back.
 	DepartedRetention time.Duration
-	// Indirect is how many others are asked to probe a silent member.
+	// IndirectProbes is the number of members that are asked to probe one that did not
+	// acknowledge a direct probe.
 	IndirectProbes int
-	// PacketBytes bounds the records that ride on one packet.
+	// MaxPiggybackBytes bounds the records that one packet carries.
 	MaxPiggybackBytes int
-	// Urgent tells by its key which record that is not about a member is handed on at
-	// once, as news of members is; nil for none.
+	// IsUrgent reports whether a record that does not describe a member is forwarded on
+	// receipt, as changes of members are. If nil, no such record is.
 	IsUrgent func(key string) bool
-	// Rand is the source of choices.
+	// Rand is the source of randomness.
 	Rand *rand.Rand
 }
 
-// Kind tells packets apart.
-type Kind uint8
+// PacketKind is the type of a packet.
+type PacketKind uint8
 
 // The kinds of packets.
 const (
-	Ping Kind = iota + 1
+	// Ping asks the receiver for an Ack.
+	Ping PacketKind = iota + 1
+	// Ack answers a Ping or a PingReq.
 	Ack
-	PingFor
+	// PingReq asks the receiver to probe the address in Target.
+	PingReq
 )
 
 // Packet is one datagram between members.
 type Packet struct {
-	Kind Kind
+	Kind PacketKind
+	// From is the ID of the sender.
 	From string
-	Seq  uint64
-	// Target is, in a PingFor, the address to probe.
+	// Seq matches an Ack with the Ping or PingReq that it answers.
+	Seq uint64
+	// Target is the address to probe, in a PingReq.
 	Target string
-	// By is, in an Ack that is passed on, the id of the member that answered.
-	By      string
+	// By is the ID of the member that answered, in a relayed Ack.
+	By string
+	// Records are the records piggybacked on the packet.
 	Records []Record
-	// Config is the version of the settings that the sender has; the core
-	// only carries it.
+	// Config is the version of the settings that the sender has. The core does not
+	// interpret it.
 	Config uint64
 }
 
-// Out is a packet to send.
+// OutgoingPacket is a packet to send to an address.
 type OutgoingPacket struct {
 	Addr   string
 	Packet Packet
 }
 
-// Event is a change of a record; for members, Member is set.
+// Event reports a new or changed record. Member is set if the record describes a member.
 type Event struct {
 	Record Record
 	Member *Member
 }
 
-// Core is the state of one node. It is not safe for concurrent use.
+// Core is the gossip and failure detection state machine of one node. It performs no
+// I/O and is not safe for concurrent use.
 type Core struct {
-	opt     Options
-	self    Member
-	members map[string]*state
-	order   []string
-	next    int
-	store   *store
-	queue   []broadcast
-	outs    []OutgoingPacket
-	events  []Event
-	// news counts the changes learnt that decide over routing.
-	news int
-
-	seq       uint64
-	nextProbe time.Duration
-	probe     *probe
-	relays    map[uint64]relay
-	scanned   time.Duration
+	opt        Options
+	self       Member
+	members    map[string]*memberState
+	probeOrder []string
+	probeIndex int
+	store      *store
+	broadcasts []broadcast
+	outgoing   []OutgoingPacket
+	events     []Event
+	// urgentChanges counts the changes applied since the last call of
+	// forwardUrgentChanges that affect routing.
+	urgentChanges int
+
+	seq         uint64
+	nextProbeAt time.Duration
+	probe       *activeProbe
+	relays      map[uint64]relay
+	lastExpiry  time.Duration
 }
 
-type state struct {
+// memberState is a member and the time of its last change.
+type memberState struct {
 	Member
-	since time.Duration
+	updatedAt time.Duration
 }
 
-type probe struct {
-	id      string
-	seq     uint64
-	asked   bool
-	ackBy   time.Duration
-	periodE time.Duration
+// activeProbe is the probe in progress. Indirect probes are sent at ackDeadline; the
+// member is suspected at deadline.
+type activeProbe struct {
+	memberID     string
+	seq          uint64
+	indirectSent bool
+	ackDeadline  time.Duration
+	deadline     time.Duration
 }
 
+// relay is a ping sent on behalf of another member, to which the ack is relayed.
 type relay struct {
-	addr string
-	seq  uint64
-	by   time.Duration
+	requesterAddr string
+	requesterSeq  uint64
+	deadline      time.Duration
 }
 
+// broadcast is a record queued for piggybacking.
 type broadcast struct {
-	key  string
-	left int
+	key            string
+	remainingSends int
 }
 
-// New returns the core of a node that knows only itself.
+// New returns a Core that knows only the node itself.
 func New(self Member, o Options) *Core {
 	self.Status = Alive
-	c := &Core{opt: o, self: self, members: map[string]*state{}, store: newStore(), relays: map[uint64]relay{}}
+	c := &Core{opt: o, self: self, members: map[string]*memberState{}, store: newStore(), relays: map[uint64]relay{}}
 	c.publishSelf()
 	return c
 }
 
-// Self returns the node's own record.
+// Self returns the node's own member entry.
 func (c *Core) Self() Member { return c.self }
 
-// SetMeta changes what the node says of itself.
+// SetMeta replaces the node's metadata and publishes it.
 func (c *Core) SetMeta(meta []byte) {
 	c.self.Meta = meta
 	c.self.Incarnation++
 	c.publishSelf()
 }
 
-// Leave announces that the node is going; it keeps answering.
+// Leave announces that the node is leaving. The node still answers probes.
 func (c *Core) Leave() {
 	c.self.Status = Leaving
 	c.self.Incarnation++
 	c.publishSelf()
 }
 
-// Publish spreads a record that is not about a member.
-func (c *Core) Publish(r Record) bool { return c.accept(r) }
+// Publish stores and broadcasts a record that does not describe a member. It reports
+// whether the record was newer than the stored one.
+func (c *Core) Publish(r Record) bool { return c.storeAndBroadcast(r) }
 
-// Get returns the record with the key.
+// Get returns the record with the given key.
 func (c *Core) Get(key string) (Record, bool) {
 	r, ok := c.store.records[key]
 	return r, ok
 }
 
-// Members returns the other members, dead ones included, sorted by id.
+// Members returns the other members, including dead ones, sorted by ID.
 func (c *Core) Members() []Member {
 	out := make([]Member, 0, len(c.members))
 	for _, m := range c.members {
@@ -195,7 +212,7 @@
 	return out
 }
 
-// Len returns the number of other members that are not dead.
+// LiveCount returns the number of other members that are not dead.
 func (c *Core) LiveCount() int {
 	n := 0
 	for _, m := range c.members {
@@ -206,22 +223,22 @@
 	return n
 }
 
-// Take returns the packets to send and the events since the last call.
+// TakeOutput returns the packets to send and the events since the last call.
 func (c *Core) TakeOutput() ([]OutgoingPacket, []Event) {
-	outs, events := c.outs, c.events
-	c.outs, c.events = nil, nil
+	outs, events := c.outgoing, c.events
+	c.outgoing, c.events = nil, nil
 	return outs, events
 }
 
-// Nudge sends a packet to n random members at once, so that news does not wait
-// for the next probe.
+// PingRandom pings n random members, so that queued records do not wait for the next
+// probe.
 func (c *Core) PingRandom(n int) {
-	if len(c.order) == 0 {
+	if len(c.probeOrder) == 0 {
 		return
 	}
-	from := c.opt.Rand.IntN(len(c.order))
-	for i := 0; i < len(c.order) && n > 0; i++ {
-		s := c.members[c.order[(from+i)%len(c.order)]]
+	from := c.opt.Rand.IntN(len(c.probeOrder))
+	for i := 0; i < len(c.probeOrder) && n > 0; i++ {
+		s := c.members[c.probeOrder[(from+i)%len(c.probeOrder)]]
 		if s.Status == Dead {
 			continue
 		}
@@ -231,61 +248,63 @@
 	}
 }
 
-// Digest summarises the records for a Sync.
+// Digest returns the bucket hashes of the records, for a sync.
 func (c *Core) Digest() Digest { return c.store.digest }
 
-// Differing returns the records that a node with digest d may lack.
+// DifferingRecords returns the records that a node with digest d may lack.
 func (c *Core) DifferingRecords(d Digest) []Record { return c.store.differing(d) }
 
-// Merge takes over the records of a Sync.
+// MergeRecords applies the records received in a sync.
 func (c *Core) MergeRecords(now time.Duration, rs []Record) {
 	for _, r := range rs {
-		c.receive(now, r)
+		c.applyRecord(now, r)
 	}
-	c.handOnNews()
+	c.forwardUrgentChanges()
 }
 
-// stamp orders the records of one member: incarnation first, then status.
-func stamp(m Member) uint64 { return m.Incarnation<<2 | uint64(m.Status) }
+// memberStamp returns the stamp of a member's record, which orders by incarnation and
+// then by status.
+func memberStamp(m Member) uint64 { return m.Incarnation<<2 | uint64(m.Status) }
 
-func (c *Core) publishSelf() { c.accept(memberRecord(c.self)) }
+func (c *Core) publishSelf() { c.storeAndBroadcast(memberRecord(c.self)) }
 
-// accept stores a newer record, queues it for spreading and reports it.
-func (c *Core) accept(r Record) bool {
-	if !c.store.put(r) {
+// storeAndBroadcast stores a record if it is newer, queues it for broadcast and, unless
+// it describes a member, emits an event. It reports whether the record was newer.
+func (c *Core) storeAndBroadcast(r Record) bool {
+	if !c.store.putIfNewer(r) {
 		return false
 	}
-	c.enqueue(r.Key)
-	if !isMember(r.Key) {
+	c.enqueueBroadcast(r.Key)
+	if !isMemberKey(r.Key) {
 		c.events = append(c.events, Event{Record: r})
 	}
 	return true
 }
 
-func isMember(key string) bool {
+func isMemberKey(key string) bool {
 	return len(key) > len(memberPrefix) && key[:len(memberPrefix)] == memberPrefix
 }
 
-// spreadMore is how much more often than log2 of the members a record is sent
-// on by each member that has it. What that misses a Sync brings.
-const spreadMore = 3
+// extraSends is how many times more than log2 of the member count each member sends a
+// record. Syncs deliver what these broadcasts miss.
+const extraSends = 3
 
-func (c *Core) enqueue(key string) {
-	n := bits.Len(uint(len(c.members))) + spreadMore
-	for i := range c.queue {
-		if c.queue[i].key == key {
-			c.queue[i].left = n
+func (c *Core) enqueueBroadcast(key string) {
+	n := bits.Len(uint(len(c.members))) + extraSends
+	for i := range c.broadcasts {
+		if c.broadcasts[i].key == key {
+			c.broadcasts[i].remainingSends = n
 			return
 		}
 	}
-	c.queue = append(c.queue, broadcast{key, n})
+	c.broadcasts = append(c.broadcasts, broadcast{key, n})
 }
 
-// receive takes over a record from another node.
-func (c *Core) receive(now time.Duration, r Record) {
-	if !isMember(r.Key) {
-		if c.accept(r) && c.opt.IsUrgent != nil && c.opt.IsUrgent(r.Key) {
-			c.news++
+// applyRecord applies a record received from another node.
+func (c *Core) applyRecord(now time.Duration, r Record) {
+	if !isMemberKey(r.Key) {
+		if c.storeAndBroadcast(r) && c.opt.IsUrgent != nil && c.opt.IsUrgent(r.Key) {
+			c.urgentChanges++
 		}
 		return
 	}
@@ -297,59 +316,62 @@
 		c.refute(m)
 		return
 	}
-	c.learn(now, m)
+	c.applyMember(now, m)
 }
 
-// refute objects to a claim about this node that is not its own.
+// refute overrides another node's newer record about this node with a higher
+// incarnation.
 func (c *Core) refute(m Member) {
-	if stamp(m) <= stamp(c.self) {
+	if memberStamp(m) <= memberStamp(c.self) {
 		return
 	}
 	c.self.Incarnation = m.Incarnation + 1
 	c.publishSelf()
 }
 
-func (c *Core) learn(now time.Duration, m Member) {
-	if !c.accept(memberRecord(m)) {
+// applyMember records a member's state if it is newer than the known one, and emits an
+// event.
+func (c *Core) applyMember(now time.Duration, m Member) {
+	if !c.storeAndBroadcast(memberRecord(m)) {
 		return
 	}
 	s := c.members[m.ID]
 	if s == nil || m.Status == Leaving || !bytes.Equal(s.Meta, m.Meta) {
-		c.news++
+		c.urgentChanges++
 	}
 	if s == nil {
-		s = &state{}
+		s = &memberState{}
 		c.members[m.ID] = s
-		at := c.opt.Rand.IntN(len(c.order) + 1)
-		c.order = append(c.order, "")
-		copy(c.order[at+1:], c.order[at:])
-		c.order[at] = m.ID
+		at := c.opt.Rand.IntN(len(c.probeOrder) + 1)
+		c.probeOrder = append(c.probeOrder, "")
+		copy(c.probeOrder[at+1:], c.probeOrder[at:])
+		c.probeOrder[at] = m.ID
 	}
 	s.Member = m
-	s.since = now
+	s.updatedAt = now
 	c.events = append(c.events, Event{Record: memberRecord(m), Member: &m})
 }
 
 const (
-	// handOn is how many members a node hands news on to at once: what
-	// decides over routing must not wait for the next probe.
-	handOn = 2
-	// fewNews is how many changes count as news; more of them are what a
-	// node that joins or comes back has missed.
-	fewNews = 8
+	// urgentFanout is the number of members pinged when a change that affects routing
+	// arrives, so that it does not wait for the next probe.
+	urgentFanout = 2
+	// maxUrgentChanges is the largest number of changes in one packet or sync that is
+	// forwarded urgently. A node that joins or reconnects receives more.
+	maxUrgentChanges = 8
 )
 
-// handOnNews hands on what was learnt with one packet or Sync.
-func (c *Core) handOnNews() {
-	if c.news > 0 && c.news <= fewNews {
-		c.PingRandom(handOn)
+// forwardUrgentChanges forwards the urgent changes received in one packet or sync.
+func (c *Core) forwardUrgentChanges() {
+	if c.urgentChanges > 0 && c.urgentChanges <= maxUrgentChanges {
+		c.PingRandom(urgentFanout)
 	}
-	c.news = 0
+	c.urgentChanges = 0
 }
 
-// setStatus changes a member's status as seen by this node.
-func (c *Core) setStatus(now time.Duration, s *state, st Status) {
+// setStatus applies a status that this node has detected to a member.
+func (c *Core) setStatus(now time.Duration, s *memberState, st Status) {
 	m := s.Member
 	m.Status = st
-	c.learn(now, m)
+	c.applyMember(now, m)
 }
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -11,21 +11,22 @@
 	"pgregory.net/rapid"
 )
 
-const tick = 25 * time.Millisecond
+const tickInterval = 25 * time.Millisecond
 
-// world is many cores in one process over a network that loses.
-type world struct {
-	rng    *rand.Rand
-	now    time.Duration
-	cores  map[string]*Core
-	ids    []string
-	frozen map[string]bool
-	cut    map[string]bool
-	loss   float64
-	bytes  map[string]int
+// simNetwork connects cores in virtual time over a network with packet loss, cut links
+// and frozen nodes.
+type simNetwork struct {
+	rng       *rand.Rand
+	now       time.Duration
+	cores     map[string]*Core
+	ids       []string
+	frozen    map[string]bool
+	cutLinks  map[string]bool
+	lossRate  float64
+	bytesSent map[string]int
 }
 
-func options(rng *rand.Rand) Options {
+func testOptions(rng *rand.Rand) Options {
 	return Options{
 		ProbeInterval: 500 * time.Millisecond, AckTimeout: 150 * time.Millisecond, SuspicionTimeout: 2 * time.Second,
 		DepartedRetention: 30 * time.Second, IndirectProbes: 3, MaxPiggybackBytes: 1100, Rand: rng,
@@ -33,28 +34,28 @@
 	}
 }
 
-func newWorld(n int, seed uint64) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 5)), cores: map[string]*Core{}, frozen: map[string]bool{}, cut: map[string]bool{}, bytes: map[string]int{}}
+func newSimNetwork(n int, seed uint64) *simNetwork {
+	w := &simNetwork{rng: rand.New(rand.NewPCG(seed, 5)), cores: map[string]*Core{}, frozen: map[string]bool{}, cutLinks: map[string]bool{}, bytesSent: map[string]int{}}
 	for i := range n {
-		w.add(fmt.Sprintf("n%03d", i))
+		w.addCore(fmt.Sprintf("n%03d", i))
 	}
 	return w
 }
 
-func (w *world) add(id string) {
-	w.cores[id] = New(Member{ID: id, Addr: id}, options(w.rng))
+func (w *simNetwork) addCore(id string) {
+	w.cores[id] = New(Member{ID: id, Addr: id}, testOptions(w.rng))
 	if len(w.ids) > 0 {
 		w.sync(id, w.ids[w.rng.IntN(len(w.ids))])
 	}
 	w.ids = append(w.ids, id)
 }
 
-// urgentPrefix begins the keys of urgent records here.
+// urgentPrefix is the key prefix of urgent records in these tests.
 const urgentPrefix = "urgent/"
 
-// sync is what the daemon does over TCP.
-func (w *world) sync(a, b string) {
-	if w.frozen[a] || w.frozen[b] || w.cut[a+b] || w.cut[b+a] {
+// sync exchanges differing records between two cores, as nodes do over TCP.
+func (w *simNetwork) sync(a, b string) {
+	if w.frozen[a] || w.frozen[b] || w.cutLinks[a+b] || w.cutLinks[b+a] {
 		return
 	}
 	ca, cb := w.cores[a], w.cores[b]
@@ -64,30 +65,30 @@
 	cb.MergeRecords(w.now, ra)
 }
 
-func (w *world) run(d time.Duration) {
-	for end := w.now + d; w.now < end; w.now += tick {
+func (w *simNetwork) run(d time.Duration) {
+	for end := w.now + d; w.now < end; w.now += tickInterval {
 		for _, id := range w.ids {
 			if w.frozen[id] {
 				continue
 			}
 			w.cores[id].Tick(w.now)
-			if w.rng.Float64() < float64(tick)/float64(2*time.Second) {
+			if w.rng.Float64() < float64(tickInterval)/float64(2*time.Second) {
 				w.sync(id, w.ids[w.rng.IntN(len(w.ids))])
 			}
 		}
-		w.flush()
+		w.deliverPackets()
 	}
 }
 
-func (w *world) flush() {
+func (w *simNetwork) deliverPackets() {
 	for more := true; more; {
 		more = false
 		for _, id := range w.ids {
 			outs, _ := w.cores[id].TakeOutput()
 			for _, o := range outs {
 				more = true
-				w.bytes[id] += len(EncodePacket(o.Packet))
-				if w.frozen[o.Addr] || w.cut[id+o.Addr] || w.rng.Float64() < w.loss {
+				w.bytesSent[id] += len(EncodePacket(o.Packet))
+				if w.frozen[o.Addr] || w.cutLinks[id+o.Addr] || w.rng.Float64() < w.lossRate {
 					continue
 				}
 				w.cores[o.Addr].HandlePacket(w.now, id, o.Packet)
@@ -96,8 +97,8 @@
 	}
 }
 
-// statusOf returns how a core sees a member.
-func (w *world) statusOf(viewer, id string) Status {
+// statusOf returns the status of a member as the viewer knows it, Dead if it is unknown.
+func (w *simNetwork) statusOf(viewer, id string) Status {
 	for _, m := range w.cores[viewer].Members() {
 		if m.ID == id {
 			return m.Status
@@ -106,9 +107,9 @@
 	return Dead
 }
 
-func TestAFrozenMemberIsFoundAndTakenBack(t *testing.T) {
+func TestFrozenMemberIsDeclaredDeadAndRecovers(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := newWorld(20, 1)
+	w := newSimNetwork(20, 1)
 	w.run(10 * time.Second)
 	for _, id := range w.ids {
 		g.Expect(w.cores[id].LiveCount()).To(gomega.Equal(19), id)
@@ -129,20 +130,20 @@
 	}
 }
 
-func TestOneWayCutToOneMemberUnseatsNobody(t *testing.T) {
+func TestOneWayCutKillsNoMember(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := newWorld(12, 2)
+	w := newSimNetwork(12, 2)
 	w.run(5 * time.Second)
-	w.cut["n001n002"] = true
+	w.cutLinks["n001n002"] = true
 	w.run(20 * time.Second)
 	for _, id := range w.ids {
 		g.Expect(w.cores[id].LiveCount()).To(gomega.Equal(11), id)
 	}
 }
 
-func TestLeavingIsNotDying(t *testing.T) {
+func TestLeavingMemberIsNotDeclaredDead(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := newWorld(8, 3)
+	w := newSimNetwork(8, 3)
 	w.run(3 * time.Second)
 	w.cores["n003"].Leave()
 	w.cores["n003"].PingRandom(3)
@@ -154,13 +155,12 @@
 	}
 }
 
-// TestMembersAgreeAfterFaults freezes, cuts and loses at random, then checks
-// that all members see all others once the faults end, and that no record's
-// stamp ever falls.
-func TestMembersAgreeAfterFaults(t *testing.T) {
+// TestMembersConvergeAfterFaults checks that after random freezes, cuts and packet loss
+// all members see all others, and that no record's stamp ever decreases.
+func TestMembersConvergeAfterFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.IntRange(3, 8).Draw(t, "n"), rapid.Uint64().Draw(t, "seed"))
-		w.loss = 0.1
+		w := newSimNetwork(rapid.IntRange(3, 8).Draw(t, "n"), rapid.Uint64().Draw(t, "seed"))
+		w.lossRate = 0.1
 		stamps := map[string]uint64{}
 		for range rapid.IntRange(1, 10).Draw(t, "steps") {
 			a := rapid.SampledFrom(w.ids).Draw(t, "a")
@@ -169,7 +169,7 @@
 			case 0:
 				w.frozen[a] = !w.frozen[a]
 			case 1:
-				w.cut[a+b] = !w.cut[a+b]
+				w.cutLinks[a+b] = !w.cutLinks[a+b]
 			case 2:
 				w.cores[a].Publish(Record{Key: "s/x", Stamp: uint64(w.now) + 1, Payload: []byte(a)})
 			}
@@ -177,17 +177,17 @@
 			for _, id := range w.ids {
 				r, _ := w.cores[id].Get("s/x")
 				if r.Stamp < stamps[id] {
-					t.Fatalf("%s went back from stamp %d to %d", id, stamps[id], r.Stamp)
+					t.Fatalf("the stamp at %s decreased from %d to %d", id, stamps[id], r.Stamp)
 				}
 				stamps[id] = r.Stamp
 			}
 		}
-		w.frozen, w.cut, w.loss = map[string]bool{}, map[string]bool{}, 0
+		w.frozen, w.cutLinks, w.lossRate = map[string]bool{}, map[string]bool{}, 0
 		w.run(40 * time.Second)
 		first, _ := w.cores[w.ids[0]].Get("s/x")
 		for _, id := range w.ids {
 			if n := w.cores[id].LiveCount(); n != len(w.ids)-1 {
-				t.Fatalf("%s sees %d of %d", id, n, len(w.ids)-1)
+				t.Fatalf("%s sees %d of %d members", id, n, len(w.ids)-1)
 			}
 			if r, _ := w.cores[id].Get("s/x"); r.Stamp != first.Stamp {
 				t.Fatalf("%s has stamp %d, %s has %d", id, r.Stamp, w.ids[0], first.Stamp)
@@ -196,16 +196,17 @@
 	})
 }
 
-// TestBytesDoNotGrowWithTheMembers measures what a quiet member sends.
-func TestBytesDoNotGrowWithTheMembers(t *testing.T) {
+// TestTrafficPerMemberIsBounded checks that what an idle member sends does not grow with
+// the number of members.
+func TestTrafficPerMemberIsBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	perSecond := func(n int) float64 {
-		w := newWorld(n, 4)
+		w := newSimNetwork(n, 4)
 		w.run(20 * time.Second)
-		clear(w.bytes)
+		clear(w.bytesSent)
 		w.run(10 * time.Second)
 		sum := 0
-		for _, b := range w.bytes {
+		for _, b := range w.bytesSent {
 			sum += b
 		}
 		return float64(sum) / float64(n) / 10
@@ -222,20 +223,19 @@
 		if err != nil {
 			return
 		}
-		c := New(Member{ID: "x", Addr: "x"}, options(rand.New(rand.NewPCG(1, 1))))
+		c := New(Member{ID: "x", Addr: "x"}, testOptions(rand.New(rand.NewPCG(1, 1))))
 		c.HandlePacket(0, "y", p)
 		c.Tick(time.Second)
 	})
 }
 
-// TestAMemberReplacedAtItsAddressIsDead: a process restarts faster than it takes to
-// suspect it. Its successor answers at the same address, under another identity, and
-// must not pass for the one before, which would stay alive for good.
-func TestAMemberReplacedAtItsAddressIsDead(t *testing.T) {
+// TestMemberReplacedAtSameAddressIsDeclaredDead guards against the acks of a restarted
+// process keeping its predecessor at the same address alive.
+func TestMemberReplacedAtSameAddressIsDeclaredDead(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := newWorld(10, 1)
+	w := newSimNetwork(10, 1)
 	w.run(5 * time.Second)
-	w.cores["n003"] = New(Member{ID: "n003-again", Addr: "n003"}, options(w.rng))
+	w.cores["n003"] = New(Member{ID: "n003-again", Addr: "n003"}, testOptions(w.rng))
 	w.sync("n003", "n001")
 	w.run(5 * time.Second)
 	for _, id := range w.ids {
@@ -247,30 +247,30 @@
 	}
 }
 
-// TestASuccessorThatIsAskedThroughOthersDoesNotPassForItsPredecessor: the direct
-// probe is lost on the way; who is asked to probe passes on who answered.
-func TestASuccessorThatIsAskedThroughOthersDoesNotPassForItsPredecessor(t *testing.T) {
+// TestIndirectAckFromReplacementMarksPredecessorDead guards against a relayed ack of a
+// restarted process keeping its predecessor alive when direct probes are lost.
+func TestIndirectAckFromReplacementMarksPredecessorDead(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := newWorld(3, 1)
+	w := newSimNetwork(3, 1)
 	w.run(5 * time.Second)
-	w.cores["n002"] = New(Member{ID: "n002-again", Addr: "n002"}, options(w.rng))
-	w.cut["n000n002"] = true
+	w.cores["n002"] = New(Member{ID: "n002-again", Addr: "n002"}, testOptions(w.rng))
+	w.cutLinks["n000n002"] = true
 	w.run(5 * time.Second)
 	g.Expect(w.statusOf("n000", "n002")).To(gomega.Equal(Dead))
 }
 
-// An urgent record reaches nearly all members with the packets that are sent at once; the
-// next probes, half a second later, are not waited for.
-func TestUrgentRecordDoesNotWaitForProbes(t *testing.T) {
+// TestUrgentRecordSpreadsBetweenProbes checks that an urgent record reaches most members
+// before the next probes, which other records wait for.
+func TestUrgentRecordSpreadsBetweenProbes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const members = 200
 	reached := func(key string) int {
-		w := newWorld(members, 7)
+		w := newSimNetwork(members, 7)
 		w.run(20 * time.Second)
 		first := w.cores[w.ids[0]]
 		first.Publish(Record{Key: key, Stamp: 1, Payload: make([]byte, 500)})
 		first.PingRandom(3)
-		w.run(4 * tick)
+		w.run(4 * tickInterval)
 		n := 0
 		for _, c := range w.cores {
 			if _, ok := c.Get(key); ok {
--- a/gossip/probe.go
+++ b/gossip/probe.go
@@ -7,46 +7,48 @@
 	"github.com/umberthread/umberthread/internal/codec"
 )
 
-// Tick advances the probes. It is called several times per Period.
+// Tick starts probes and handles timeouts. It must be called several times per
+// ProbeInterval.
 func (c *Core) Tick(now time.Duration) {
-	c.checkProbe(now)
-	if now >= c.nextProbe {
-		c.nextProbe = now + c.opt.ProbeInterval
+	c.checkProbeTimeouts(now)
+	if now >= c.nextProbeAt {
+		c.nextProbeAt = now + c.opt.ProbeInterval
 		c.startProbe(now)
 	}
-	if now-c.scanned >= c.opt.ProbeInterval {
-		c.scanned = now
-		c.scan(now)
+	if now-c.lastExpiry >= c.opt.ProbeInterval {
+		c.lastExpiry = now
+		c.expire(now)
 	}
 }
 
-// scan ends suspicions and forgets members that are long dead.
-func (c *Core) scan(now time.Duration) {
-	for _, id := range slices.Clone(c.order) {
+// expire declares suspected and leaving members dead after their timeouts, and removes
+// dead members and relays that have expired.
+func (c *Core) expire(now time.Duration) {
+	for _, id := range slices.Clone(c.probeOrder) {
 		s := c.members[id]
-		age := now - s.since
+		age := now - s.updatedAt
 		switch {
 		case s.Status == Suspect && age >= c.opt.SuspicionTimeout:
 			c.setStatus(now, s, Dead)
 		case s.Status == Leaving && age >= c.opt.DepartedRetention:
 			c.setStatus(now, s, Dead)
 		case s.Status == Dead && age >= c.opt.DepartedRetention:
-			c.forget(id)
+			c.removeMember(id)
 		}
 	}
 	for seq, r := range c.relays {
-		if now > r.by {
+		if now > r.deadline {
 			delete(c.relays, seq)
 		}
 	}
 }
 
-func (c *Core) forget(id string) {
+func (c *Core) removeMember(id string) {
 	delete(c.members, id)
 	c.store.remove(memberPrefix + id)
-	for i, o := range c.order {
+	for i, o := range c.probeOrder {
 		if o == id {
-			c.order = append(c.order[:i], c.order[i+1:]...)
+			c.probeOrder = append(c.probeOrder[:i], c.probeOrder[i+1:]...)
 			return
 		}
 	}
@@ -56,21 +58,21 @@
 	if c.probe != nil {
 		return
 	}
-	s := c.pick()
+	s := c.nextProbeTarget()
 	if s == nil {
 		return
 	}
 	c.seq++
-	c.probe = &probe{id: s.ID, seq: c.seq, ackBy: now + c.opt.AckTimeout, periodE: now + 2*c.opt.AckTimeout}
+	c.probe = &activeProbe{memberID: s.ID, seq: c.seq, ackDeadline: now + c.opt.AckTimeout, deadline: now + 2*c.opt.AckTimeout}
 	c.send(s.Addr, Packet{Kind: Ping, Seq: c.seq})
 }
 
-// pick returns the next member to probe. The order is random for each member
-// when it joins, so that within one round everyone is probed once.
-func (c *Core) pick() *state {
-	for range c.order {
-		c.next = (c.next + 1) % len(c.order)
-		s := c.members[c.order[c.next]]
+// nextProbeTarget returns the next member to probe in round-robin order, or nil. A
+// member joins the order at a random position.
+func (c *Core) nextProbeTarget() *memberState {
+	for range c.probeOrder {
+		c.probeIndex = (c.probeIndex + 1) % len(c.probeOrder)
+		s := c.members[c.probeOrder[c.probeIndex]]
 		if s.Status != Dead {
 			return s
 		}
@@ -78,22 +80,23 @@
 	return nil
 }
 
-// checkProbe asks others about a silent member, then suspects it.
-func (c *Core) checkProbe(now time.Duration) {
+// checkProbeTimeouts sends indirect probes when the direct probe has timed out, and
+// suspects the member when those have too.
+func (c *Core) checkProbeTimeouts(now time.Duration) {
 	p := c.probe
 	if p == nil {
 		return
 	}
-	s := c.members[p.id]
+	s := c.members[p.memberID]
 	if s == nil || s.Status == Dead {
 		c.probe = nil
 		return
 	}
-	if !p.asked && now >= p.ackBy {
-		p.asked = true
-		c.askOthers(p)
+	if !p.indirectSent && now >= p.ackDeadline {
+		p.indirectSent = true
+		c.sendPingReqs(p)
 	}
-	if now >= p.periodE {
+	if now >= p.deadline {
 		c.probe = nil
 		if s.Status == Alive {
 			c.setStatus(now, s, Suspect)
@@ -101,138 +104,142 @@
 	}
 }
 
-func (c *Core) askOthers(p *probe) {
-	n := len(c.order)
+// sendPingReqs asks random members to probe the target of p.
+func (c *Core) sendPingReqs(p *activeProbe) {
+	n := len(c.probeOrder)
 	if n == 0 {
 		return
 	}
 	from := c.opt.Rand.IntN(n)
 	asked := 0
 	for i := 0; i < n && asked < c.opt.IndirectProbes; i++ {
-		s := c.members[c.order[(from+i)%n]]
-		if s.ID == p.id || s.Status != Alive {
+		s := c.members[c.probeOrder[(from+i)%n]]
+		if s.ID == p.memberID || s.Status != Alive {
 			continue
 		}
 		asked++
-		c.send(s.Addr, Packet{Kind: PingFor, Seq: p.seq, Target: c.members[p.id].Addr})
+		c.send(s.Addr, Packet{Kind: PingReq, Seq: p.seq, Target: c.members[p.memberID].Addr})
 	}
 }
 
-// Receive takes a packet in. addr is where it came from.
+// HandlePacket processes a packet received from addr.
 func (c *Core) HandlePacket(now time.Duration, addr string, p Packet) {
 	for _, r := range p.Records {
-		c.receive(now, r)
+		c.applyRecord(now, r)
 	}
-	c.handOnNews()
+	c.forwardUrgentChanges()
 	switch p.Kind {
 	case Ping:
 		c.send(addr, Packet{Kind: Ack, Seq: p.Seq})
-		c.reassure(addr, p.From)
-	case PingFor:
+		c.notifySuspected(addr, p.From)
+	case PingReq:
 		c.seq++
 		c.relays[c.seq] = relay{addr, p.Seq, now + c.opt.ProbeInterval}
 		c.send(p.Target, Packet{Kind: Ping, Seq: c.seq})
 	case Ack:
-		c.ack(now, p)
+		c.handleAck(now, p)
 	}
 }
 
-// reassure tells a member that it is suspected or thought dead, so that it
-// can object at once rather than when the rumour reaches it.
-func (c *Core) reassure(addr, id string) {
+// notifySuspected sends a member its own record if it is suspected or dead, so that it
+// can refute it without waiting for the record to spread.
+func (c *Core) notifySuspected(addr, id string) {
 	s := c.members[id]
 	if s == nil || s.Status == Alive || s.Status == Leaving {
 		return
 	}
-	c.outs = append(c.outs, OutgoingPacket{addr, Packet{Kind: Ack, From: c.self.ID, Records: []Record{memberRecord(s.Member)}}})
+	c.outgoing = append(c.outgoing, OutgoingPacket{addr, Packet{Kind: Ack, From: c.self.ID, Records: []Record{memberRecord(s.Member)}}})
 }
 
-func (c *Core) ack(now time.Duration, p Packet) {
+// handleAck relays the ack of a ping sent for another member, or ends the active probe.
+func (c *Core) handleAck(now time.Duration, p Packet) {
 	by := p.By
 	if by == "" {
 		by = p.From
 	}
 	if r, ok := c.relays[p.Seq]; ok {
 		delete(c.relays, p.Seq)
-		c.send(r.addr, Packet{Kind: Ack, Seq: r.seq, By: by})
+		c.send(r.requesterAddr, Packet{Kind: Ack, Seq: r.requesterSeq, By: by})
 		return
 	}
 	if c.probe == nil || c.probe.seq != p.Seq {
 		return
 	}
-	s := c.members[c.probe.id]
+	s := c.members[c.probe.memberID]
 	c.probe = nil
 	if s != nil && by != s.ID && s.Status != Dead {
-		// Another process answers at the member's address, so the member has ended.
-		// Else it would stay alive for good, and its successor be counted twice.
+		// Another process answers at the member's address, so the member's process has
+		// ended. Its replacement's acks must not keep it alive.
 		c.setStatus(now, s, Dead)
 	}
 }
 
+// send queues a packet for sending, with piggybacked records.
 func (c *Core) send(addr string, p Packet) {
 	p.From = c.self.ID
-	p.Records = c.riders()
-	c.outs = append(c.outs, OutgoingPacket{addr, p})
+	p.Records = c.takePiggyback()
+	c.outgoing = append(c.outgoing, OutgoingPacket{addr, p})
 }
 
-// recordOverhead is what a record costs in a packet beside key and payload.
-const recordOverhead = 16
+// recordOverheadBytes is the encoded size of a record beyond its key and payload.
+const recordOverheadBytes = 16
 
-// riders takes records from the queue, least often sent first as the queue
-// turns over, up to the room in one packet.
-func (c *Core) riders() []Record {
+// takePiggyback returns queued records up to MaxPiggybackBytes, and requeues those with
+// sends remaining at the end so that each record gets its turn.
+func (c *Core) takePiggyback() []Record {
 	var out []Record
 	room := c.opt.MaxPiggybackBytes
-	kept := c.queue[:0]
+	kept := c.broadcasts[:0]
 	var again []broadcast
-	for _, b := range c.queue {
+	for _, b := range c.broadcasts {
 		r, ok := c.store.records[b.key]
 		if !ok {
 			continue
 		}
-		size := len(r.Key) + len(r.Payload) + recordOverhead
+		size := len(r.Key) + len(r.Payload) + recordOverheadBytes
 		if size > room {
 			kept = append(kept, b)
 			continue
 		}
 		room -= size
 		out = append(out, r)
-		if b.left > 1 {
-			again = append(again, broadcast{b.key, b.left - 1})
+		if b.remainingSends > 1 {
+			again = append(again, broadcast{b.key, b.remainingSends - 1})
 		}
 	}
-	c.queue = append(kept, again...)
+	c.broadcasts = append(kept, again...)
 	return out
 }
 
-// memberWire is a member's payload.
-type memberWire struct {
+// memberPayload is the encoded payload of a member record.
+type memberPayload struct {
 	Addr        string
 	Status      Status
 	Incarnation uint64
 	Meta        []byte
 }
 
+// memberRecord returns the record that describes a member.
 func memberRecord(m Member) Record {
-	payload := codec.Encode(&memberWire{Addr: m.Addr, Status: m.Status, Incarnation: m.Incarnation, Meta: m.Meta})
-	return Record{memberPrefix + m.ID, stamp(m), payload}
+	payload := codec.Encode(&memberPayload{Addr: m.Addr, Status: m.Status, Incarnation: m.Incarnation, Meta: m.Meta})
+	return Record{memberPrefix + m.ID, memberStamp(m), payload}
 }
 
-// decodeMember reads a member record; false if it is malformed or its stamp
-// is not that of its content.
+// decodeMember decodes a member record. It returns false if the record is malformed or
+// its stamp does not match its content.
 func decodeMember(r Record) (Member, bool) {
-	var w memberWire
+	var w memberPayload
 	if err := codec.Decode(r.Payload, &w); err != nil || w.Status > Dead {
 		return Member{}, false
 	}
 	m := Member{r.Key[len(memberPrefix):], w.Addr, w.Status, w.Incarnation, w.Meta}
-	return m, stamp(m) == r.Stamp
+	return m, memberStamp(m) == r.Stamp
 }
 
-// EncodePacket returns the datagram of a packet.
+// EncodePacket encodes a packet as a datagram.
 func EncodePacket(p Packet) []byte { return codec.Encode(&p) }
 
-// DecodePacket reads a datagram.
+// DecodePacket decodes a datagram.
 func DecodePacket(b []byte) (Packet, error) {
 	var p Packet
 	err := codec.Decode(b, &p)
--- a/gossip/record.go
+++ b/gossip/record.go
@@ -6,23 +6,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Record is a replicated item; of two with the same key the higher stamp wins.
+// Record is a replicated key-value entry. Of two records with the same key, the one
+// with the higher stamp wins.
 type Record struct {
 	Key     string
 	Stamp   uint64
 	Payload []byte
 }
 
-// Buckets is the number of buckets whose hashes a Sync compares.
-const Buckets = 64
+// DigestBuckets is the number of buckets of records, each with a hash in a Digest.
+const DigestBuckets = 64
 
-// Digest holds the hash of each bucket.
-type Digest [Buckets]uint64
+// Digest holds one hash per bucket of records.
+type Digest [DigestBuckets]uint64
 
-// store holds the records with their bucket hashes.
+// store holds the records by key and keeps the hash of each bucket up to date.
 type store struct {
 	records map[string]Record
-	buckets [Buckets]map[string]struct{}
+	buckets [DigestBuckets]map[string]struct{}
 	digest  Digest
 }
 
@@ -34,10 +35,10 @@
 	return s
 }
 
-func bucketOf(key string) int { return int(xxhash.Sum64String(key) % Buckets) }
+func bucketOf(key string) int { return int(xxhash.Sum64String(key) % DigestBuckets) }
 
-// mark is the hash of a record's key and stamp.
-func mark(r Record) uint64 {
+// recordHash returns the hash of a record's key and stamp.
+func recordHash(r Record) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(r.Key)
@@ -47,17 +48,18 @@
 	return d.Sum64()
 }
 
-// put takes over a record if it is newer; false if it is not.
-func (s *store) put(r Record) bool {
+// putIfNewer stores a record unless one with the same or a higher stamp is stored. It
+// reports whether it stored the record.
+func (s *store) putIfNewer(r Record) bool {
 	old, known := s.records[r.Key]
 	if known && old.Stamp >= r.Stamp {
 		return false
 	}
 	b := bucketOf(r.Key)
 	if known {
-		s.digest[b] ^= mark(old)
+		s.digest[b] ^= recordHash(old)
 	}
-	s.digest[b] ^= mark(r)
+	s.digest[b] ^= recordHash(r)
 	s.records[r.Key] = r
 	s.buckets[b][r.Key] = struct{}{}
 	return true
@@ -69,12 +71,12 @@
 		return
 	}
 	b := bucketOf(key)
-	s.digest[b] ^= mark(old)
+	s.digest[b] ^= recordHash(old)
 	delete(s.records, key)
 	delete(s.buckets[b], key)
 }
 
-// differing returns the records in buckets whose hash is not that of d.
+// differing returns the records in the buckets whose hash differs from that in d.
 func (s *store) differing(d Digest) []Record {
 	var out []Record
 	for b := range s.buckets {
