--- a/discovery/core.go
+++ b/discovery/core.go
@@ -83,7 +83,7 @@
 }
 
 // Core is the state of one node. It is not safe for concurrent use.
-type Core struct {
+type Scheduler struct {
 	opt       Options
 	bootstrap []string
 	view      View
@@ -110,8 +110,8 @@
 }
 
 // New returns the core of a node that knows nobody, started at time 0.
-func New(o Options) *Core {
-	return &Core{
+func New(o Options) *Scheduler {
+	return &Scheduler{
 		opt: o, lostMembers: map[string]time.Duration{}, lostReplicas: map[string]time.Duration{},
 		asked: map[string]bool{}, answered: map[string]bool{}, tried: map[string]time.Duration{},
 	}
@@ -119,10 +119,10 @@
 
 // SetBootstrap takes over the control addresses from the settings, of nodes of
 // any failure domain.
-func (c *Core) SetBootstrap(addrs []string) { c.bootstrap = slices.Clone(addrs) }
+func (c *Scheduler) SetBootstrap(addrs []string) { c.bootstrap = slices.Clone(addrs) }
 
 // See takes over what the node knows now.
-func (c *Core) See(now time.Duration, v View) {
+func (c *Scheduler) See(now time.Duration, v View) {
 	looking := c.looking()
 	lose(now, c.lostMembers, c.view.Alive, v.Alive)
 	lose(now, c.lostReplicas, c.view.Replicas, v.Replicas)
@@ -145,13 +145,13 @@
 
 // Joined tells whether the node has met its failure domain, or may take itself
 // for the first of it.
-func (c *Core) Joined() bool { return c.joined }
+func (c *Scheduler) Joined() bool { return c.joined }
 
 // Young tells whether the process is young.
 func Young(now time.Duration) bool { return now < youngFor }
 
 // Next returns when Due has something to do.
-func (c *Core) Next() time.Duration {
+func (c *Scheduler) Next() time.Duration {
 	if c.looking() {
 		return min(c.nextRound, c.nextLook)
 	}
@@ -160,7 +160,7 @@
 
 // Due returns the addresses to compare records with now. Each must be answered
 // by Answered or Failed; until then it is not returned again.
-func (c *Core) Due(now time.Duration) []Target {
+func (c *Scheduler) Due(now time.Duration) []Target {
 	targets := map[string]time.Duration{}
 	if c.looking() && now >= c.nextLook {
 		c.look(now, targets)
@@ -176,7 +176,7 @@
 	return c.ask(targets)
 }
 
-func (c *Core) ask(targets map[string]time.Duration) []Target {
+func (c *Scheduler) ask(targets map[string]time.Duration) []Target {
 	var out []Target
 	for _, addr := range slices.Sorted(maps.Keys(targets)) {
 		if addr == "" || addr == c.opt.Self || c.asked[addr] {
@@ -188,7 +188,7 @@
 	return out
 }
 
-func (c *Core) roundWait(now time.Duration) time.Duration {
+func (c *Scheduler) roundWait(now time.Duration) time.Duration {
 	switch {
 	case Young(now):
 		return youngPeriod
@@ -200,7 +200,7 @@
 }
 
 // vary returns a time that differs from d by a random part of it, at most part.
-func (c *Core) vary(d time.Duration, part float64) time.Duration {
+func (c *Scheduler) vary(d time.Duration, part float64) time.Duration {
 	return time.Duration(float64(d) * (1 + part*(2*c.opt.Rand.Float64()-1)))
 }
 
@@ -208,7 +208,7 @@
 // many addresses from the settings may be down: a member, the address from the
 // settings that stands in this failure domain, or all of them while none is known
 // to, and one that another domain named.
-func (c *Core) round(now time.Duration, targets map[string]time.Duration) {
+func (c *Scheduler) round(now time.Duration, targets map[string]time.Duration) {
 	if !Young(now) {
 		targets[c.partner(bootstrapEvery)] = timeout
 		return
@@ -226,7 +226,7 @@
 
 // partner returns a random member, or, once in so many rounds and always while
 // there is none, an address from the settings or one that another domain named.
-func (c *Core) partner(every int) string {
+func (c *Scheduler) partner(every int) string {
 	if len(c.view.Alive) == 0 || c.rounds%every == 0 {
 		if addr := c.pick(slices.Concat(c.bootstrap, c.seeds)); addr != "" {
 			return addr
@@ -236,7 +236,7 @@
 }
 
 // pick returns a random address that is not the node's own, or "".
-func (c *Core) pick(addrs []string) string {
+func (c *Scheduler) pick(addrs []string) string {
 	var others []string
 	for _, a := range addrs {
 		if a != c.opt.Self {
@@ -250,7 +250,7 @@
 }
 
 // Answered takes in the answer of the node at an address.
-func (c *Core) Answered(addr string, a Answer) {
+func (c *Scheduler) Answered(addr string, a Answer) {
 	delete(c.asked, addr)
 	c.answered[addr] = true
 	if a.Domain == c.opt.Domain {
@@ -268,4 +268,4 @@
 }
 
 // Failed notes that the node at an address did not answer.
-func (c *Core) Failed(addr string) { delete(c.asked, addr) }
+func (c *Scheduler) Failed(addr string) { delete(c.asked, addr) }
--- a/discovery/fleet_test.go
+++ b/discovery/fleet_test.go
@@ -70,7 +70,7 @@
 	id, addr, domain string
 	started          time.Duration
 	gossip           *gossip.Core
-	finder           *Core
+	finder           *Scheduler
 	version          int
 	fetching         bool
 	members          map[string]gossip.Member
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -64,7 +64,7 @@
 	highest atomic.Uint64
 	// finder decides whom to compare records with; mu guards it.
 	mu     sync.Mutex
-	finder *discovery.Core
+	finder *discovery.Scheduler
 }
 
 func newGossiper(n *Node) *gossiper {
