--- a/discovery/core.go
+++ b/discovery/core.go
@@ -65,7 +65,7 @@
 }
 
 // Answer is what the node at an address said of itself.
-type Answer struct {
+type PeerInfo struct {
 	// Domain is its failure domain.
 	Domain string
 	// Seeds are, from a node of another domain, control addresses in this one.
@@ -250,7 +250,7 @@
 }
 
 // Answered takes in the answer of the node at an address.
-func (c *Scheduler) Answered(addr string, a Answer) {
+func (c *Scheduler) Answered(addr string, a PeerInfo) {
 	delete(c.asked, addr)
 	c.answered[addr] = true
 	if a.Domain == c.opt.Domain {
--- a/discovery/fleet_test.go
+++ b/discovery/fleet_test.go
@@ -280,7 +280,7 @@
 }
 
 func (p *process) compare(t Target) {
-	var answer Answer
+	var answer PeerInfo
 	var records []gossip.Record
 	var theirs gossip.Digest
 	var version int
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -322,17 +322,17 @@
 
 // sync compares records with the node at an address. One of another failure
 // domain only tells who it is and whom it knows in this one.
-func (g *gossiper) sync(t discovery.Target) (discovery.Answer, error) {
+func (g *gossiper) sync(t discovery.Target) (discovery.PeerInfo, error) {
 	var digest gossip.Digest
 	if !g.do(func() { digest = g.core.Digest() }) {
-		return discovery.Answer{}, fault.New(fault.Draining, "this node is stopping")
+		return discovery.PeerInfo{}, fault.New(fault.Draining, "this node is stopping")
 	}
 	req := &control.SyncRequest{Addr: g.n.opt.AdvertiseControl, Domain: g.n.opt.Domain, Digest: digest, Config: g.n.conf.Load().version}
 	var reply control.SyncReply
 	if err := g.n.control.pool.Call(t.Addr, "Sync", req, &reply, t.Timeout); err != nil {
-		return discovery.Answer{}, err
+		return discovery.PeerInfo{}, err
 	}
-	answer := discovery.Answer{Domain: reply.Domain, Seeds: reply.Seeds}
+	answer := discovery.PeerInfo{Domain: reply.Domain, Seeds: reply.Seeds}
 	g.heard(bySync, t.Addr, reply.Config)
 	if g.young() {
 		g.n.quarantine.adopt(reply.Held)
