--- a/discovery/core.go
+++ b/discovery/core.go
@@ -148,7 +148,7 @@
 func (c *Scheduler) Joined() bool { return c.joined }
 
 // Young tells whether the process is young.
-func Young(now time.Duration) bool { return now < youngFor }
+func InStartup(now time.Duration) bool { return now < youngFor }
 
 // Next returns when Due has something to do.
 func (c *Scheduler) Next() time.Duration {
@@ -190,7 +190,7 @@
 
 func (c *Scheduler) roundWait(now time.Duration) time.Duration {
 	switch {
-	case Young(now):
+	case InStartup(now):
 		return youngPeriod
 	case !c.joined:
 		return joinRetry
@@ -209,7 +209,7 @@
 // settings that stands in this failure domain, or all of them while none is known
 // to, and one that another domain named.
 func (c *Scheduler) round(now time.Duration, targets map[string]time.Duration) {
-	if !Young(now) {
+	if !InStartup(now) {
 		targets[c.partner(bootstrapEvery)] = timeout
 		return
 	}
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -388,7 +388,7 @@
 	return g.finder.Lost()
 }
 
-func (g *gossiper) young() bool { return discovery.Young(g.n.clock()) }
+func (g *gossiper) young() bool { return discovery.InStartup(g.n.clock()) }
 
 // meta is what this node says of itself.
 func (n *Node) meta() *member.Meta {
