--- a/discovery/core.go
+++ b/discovery/core.go
@@ -122,7 +122,7 @@
 func (c *Scheduler) SetBootstrap(addrs []string) { c.bootstrap = slices.Clone(addrs) }
 
 // See takes over what the node knows now.
-func (c *Scheduler) See(now time.Duration, v View) {
+func (c *Scheduler) UpdateView(now time.Duration, v View) {
 	looking := c.looking()
 	lose(now, c.lostMembers, c.view.Alive, v.Alive)
 	lose(now, c.lostReplicas, c.view.Replicas, v.Replicas)
--- a/discovery/fleet_test.go
+++ b/discovery/fleet_test.go
@@ -228,7 +228,7 @@
 		}
 	}
 	slices.Sort(v.Alive)
-	p.finder.See(p.clock(), v)
+	p.finder.UpdateView(p.clock(), v)
 	if at := p.started + p.finder.Next(); at < p.findAt {
 		p.findAt = at
 		p.f.after(max(0, at-p.f.now), func() { p.ifUp(p.find) })
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -369,7 +369,7 @@
 	}
 	g.mu.Lock()
 	before := g.finder.Next()
-	g.finder.See(g.n.clock(), seen)
+	g.finder.UpdateView(g.n.clock(), seen)
 	sooner := g.finder.Next() < before
 	g.mu.Unlock()
 	if !sooner {
