--- a/discovery/core.go
+++ b/discovery/core.go
@@ -250,7 +250,7 @@
 }
 
 // Answered takes in the answer of the node at an address.
-func (c *Scheduler) Answered(addr string, a PeerInfo) {
+func (c *Scheduler) RecordReply(addr string, a PeerInfo) {
 	delete(c.asked, addr)
 	c.answered[addr] = true
 	if a.Domain == c.opt.Domain {
--- a/discovery/fleet_test.go
+++ b/discovery/fleet_test.go
@@ -296,7 +296,7 @@
 	}
 	p.call(t.Addr, t.Timeout, serve, func() {
 		p.heard(t.Addr, version)
-		p.finder.Answered(t.Addr, answer)
+		p.finder.RecordReply(t.Addr, answer)
 		if answer.Domain != p.domain {
 			p.learned[answer.Domain] = t.Addr
 			return
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -316,7 +316,7 @@
 		g.finder.Failed(t.Addr)
 		return
 	}
-	g.finder.Answered(t.Addr, answer)
+	g.finder.RecordReply(t.Addr, answer)
 	g.joined.Store(g.finder.Joined())
 }
 
