--- a/discovery/core.go
+++ b/discovery/core.go
@@ -268,4 +268,4 @@
 }
 
 // Failed notes that the node at an address did not answer.
-func (c *Scheduler) Failed(addr string) { delete(c.asked, addr) }
+func (c *Scheduler) RecordFailure(addr string) { delete(c.asked, addr) }
--- a/discovery/fleet_test.go
+++ b/discovery/fleet_test.go
@@ -308,7 +308,7 @@
 			q.gossip.MergeRecords(q.clock(), back)
 			q.work()
 		}, func() {}, func() {})
-	}, func() { p.finder.Failed(t.Addr) })
+	}, func() { p.finder.RecordFailure(t.Addr) })
 }
 
 // differing returns the records that a process may lack, in one order for each
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -313,7 +313,7 @@
 	if err != nil {
 		// Most addresses that are looked at do not answer: no line for each. How
 		// many there are is in the node's status.
-		g.finder.Failed(t.Addr)
+		g.finder.RecordFailure(t.Addr)
 		return
 	}
 	g.finder.RecordReply(t.Addr, answer)
