--- a/discovery/core.go
+++ b/discovery/core.go
@@ -160,7 +160,7 @@
 
 // Due returns the addresses to compare records with now. Each must be answered
 // by Answered or Failed; until then it is not returned again.
-func (c *Scheduler) Due(now time.Duration) []Target {
+func (c *Scheduler) DueTargets(now time.Duration) []Target {
 	targets := map[string]time.Duration{}
 	if c.looking() && now >= c.nextLook {
 		c.look(now, targets)
--- a/discovery/fleet_test.go
+++ b/discovery/fleet_test.go
@@ -271,7 +271,7 @@
 	if p.f.now < p.findAt {
 		return
 	}
-	for _, t := range p.finder.Due(p.clock()) {
+	for _, t := range p.finder.DueTargets(p.clock()) {
 		p.f.looks++
 		p.compare(t)
 	}
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -301,7 +301,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.finder.SetBootstrap(g.n.bootstrap())
-	targets := g.finder.Due(g.n.clock())
+	targets := g.finder.DueTargets(g.n.clock())
 	return targets, max(0, g.finder.Next()-g.n.clock())
 }
 
