--- a/discovery/core.go
+++ b/discovery/core.go
@@ -151,7 +151,7 @@
 func InStartup(now time.Duration) bool { return now < youngFor }
 
 // Next returns when Due has something to do.
-func (c *Scheduler) Next() time.Duration {
+func (c *Scheduler) NextDue() time.Duration {
 	if c.looking() {
 		return min(c.nextRound, c.nextLook)
 	}
--- a/discovery/fleet_test.go
+++ b/discovery/fleet_test.go
@@ -229,7 +229,7 @@
 	}
 	slices.Sort(v.Alive)
 	p.finder.UpdateView(p.clock(), v)
-	if at := p.started + p.finder.Next(); at < p.findAt {
+	if at := p.started + p.finder.NextDue(); at < p.findAt {
 		p.findAt = at
 		p.f.after(max(0, at-p.f.now), func() { p.ifUp(p.find) })
 	}
@@ -275,7 +275,7 @@
 		p.f.looks++
 		p.compare(t)
 	}
-	p.findAt = p.started + p.finder.Next()
+	p.findAt = p.started + p.finder.NextDue()
 	p.f.after(max(0, p.findAt-p.f.now), func() { p.ifUp(p.find) })
 }
 
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -302,7 +302,7 @@
 	defer g.mu.Unlock()
 	g.finder.SetBootstrap(g.n.bootstrap())
 	targets := g.finder.DueTargets(g.n.clock())
-	return targets, max(0, g.finder.Next()-g.n.clock())
+	return targets, max(0, g.finder.NextDue()-g.n.clock())
 }
 
 // meet compares records with the node at an address.
@@ -368,9 +368,9 @@
 		}
 	}
 	g.mu.Lock()
-	before := g.finder.Next()
+	before := g.finder.NextDue()
 	g.finder.UpdateView(g.n.clock(), seen)
-	sooner := g.finder.Next() < before
+	sooner := g.finder.NextDue() < before
 	g.mu.Unlock()
 	if !sooner {
 		return
