--- a/discovery/look.go
+++ b/discovery/look.go
@@ -18,7 +18,7 @@
 
 // looking tells whether there is an address to look at.
 func (c *Scheduler) looking() bool {
-	return c.Lost() > 0
+	return c.LostAddrCount() > 0
 }
 
 // forget gives up on what was lost long ago.
@@ -31,7 +31,7 @@
 
 // Lost returns how many addresses are looked at, as nobody answers there as far as
 // is known.
-func (c *Scheduler) Lost() int { return len(c.memberAddrs()) + len(c.replicaAddrs()) }
+func (c *Scheduler) LostAddrCount() int { return len(c.memberAddrs()) + len(c.replicaAddrs()) }
 
 // sought tells whether an address may be looked at, now or once no replica is
 // known.
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -385,7 +385,7 @@
 func (g *gossiper) lost() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.finder.Lost()
+	return g.finder.LostAddrCount()
 }
 
 func (g *gossiper) young() bool { return discovery.InStartup(g.n.clock()) }
