--- a/discovery/core.go
+++ b/discovery/core.go
@@ -8,133 +8,137 @@
 )
 
 const (
-	// period is the time between two rounds: anti-entropy for what the gossip's
-	// packets have missed.
-	period = 2 * time.Second
-	// youngFor is how long a process is young: it compares records often and
-	// asks the addresses from the settings every other time, so that a fleet
-	// that starts together has met within two or three seconds.
-	youngFor    = 5 * time.Second
-	youngPeriod = 150 * time.Millisecond
-	// youngTimeout bounds a comparison of a young process: many of the addresses
-	// that it is told may be down.
-	youngTimeout = 300 * time.Millisecond
-	// joinRetry is the time between two rounds of a process that knows nobody.
-	joinRetry = 100 * time.Millisecond
-	// timeout bounds a comparison: the records of a large failure domain.
-	timeout = 2 * time.Second
-	// bootstrapEvery is how often a round asks an address from the settings: one
-	// in so many, so that two halves that lost each other meet again.
-	bootstrapEvery = 5
-	// youngBootstrapEvery is the same in a young process.
-	youngBootstrapEvery = 2
-	// spread is the part of a round's period by which it varies either way. The
-	// rounds of processes that started together would else go on falling together.
-	spread = 0.25
-	// foreignEnough is how often nodes of other domains must have answered
-	// before a node takes itself for the first of its own.
-	foreignEnough = 10
+	// syncInterval is the time between two sync rounds, which deliver the records
+	// that gossip packets missed.
+	syncInterval = 2 * time.Second
+	// startupPeriod is how long after its start a process syncs more often and asks
+	// the bootstrap addresses in more rounds, so that processes that start together
+	// find each other quickly.
+	startupPeriod       = 5 * time.Second
+	startupSyncInterval = 150 * time.Millisecond
+	// startupSyncTimeout bounds a sync during startup. It is short as many bootstrap
+	// addresses may be down.
+	startupSyncTimeout = 300 * time.Millisecond
+	// joinRetryInterval is the time between two rounds of a process that has not
+	// joined its failure domain after startup.
+	joinRetryInterval = 100 * time.Millisecond
+	// syncTimeout bounds a sync after startup. It allows for the records of a large
+	// failure domain.
+	syncTimeout = 2 * time.Second
+	// roundsPerBootstrapSync is the number of rounds per sync with a bootstrap
+	// address. These syncs reconnect the halves of a partitioned domain.
+	roundsPerBootstrapSync = 5
+	// startupRoundsPerBootstrapSync replaces roundsPerBootstrapSync during startup.
+	startupRoundsPerBootstrapSync = 2
+	// syncJitter is the fraction of syncInterval by which it varies either way. It
+	// keeps the rounds of processes that started together apart.
+	syncJitter = 0.25
+	// foreignRepliesToJoin is the number of replies from other domains after which a
+	// node assumes that it is the first of its own.
+	foreignRepliesToJoin = 10
 )
 
 const (
-	// lookEvery is the time between two looks at lost addresses by all members of a
-	// failure domain together: each waits as many times longer as there are members.
-	// Replicas that come back after all were lost are met within a few such times.
-	lookEvery = 100 * time.Millisecond
-	// lookTimeout bounds a look: many round trips between domains, and short, as
-	// most addresses that are looked at do not answer.
-	lookTimeout = 300 * time.Millisecond
-	// forgetLost is how long a lost member is looked for: longer than regions
-	// lose each other, which is minutes. The addresses from the settings are
-	// looked at without end while no replica is known.
-	forgetLost = 10 * time.Minute
+	// domainProbeInterval is the time between two probes of lost addresses by all
+	// members of a failure domain taken together. It bounds how soon replicas that
+	// return after all were lost are found.
+	domainProbeInterval = 100 * time.Millisecond
+	// probeTimeout bounds a probe. It allows for several round trips between domains,
+	// and is short as most lost addresses do not answer.
+	probeTimeout = 300 * time.Millisecond
+	// lostRetention is how long a lost address is probed. It exceeds the usual length
+	// of a network partition. While no replica is known, the bootstrap addresses are
+	// probed without limit.
+	lostRetention = 10 * time.Minute
 )
 
-// Options are what a Core needs to know of its node.
+// Options configures a Scheduler.
 type Options struct {
 	// Self is the node's control address, and Domain its failure domain.
 	Self, Domain string
-	// Rand is the source of choices.
+	// Rand is the source of randomness.
 	Rand *rand.Rand
 }
 
-// Target is an address to compare records with.
+// Target is an address to sync with and the timeout of that sync.
 type Target struct {
 	Addr    string
 	Timeout time.Duration
 }
 
-// Answer is what the node at an address said of itself.
+// PeerInfo is what a node reports about itself in a sync.
 type PeerInfo struct {
-	// Domain is its failure domain.
+	// Domain is the failure domain of the node.
 	Domain string
-	// Seeds are, from a node of another domain, control addresses in this one.
+	// Seeds are control addresses in the asking node's domain, as reported by a node
+	// of another domain.
 	Seeds []string
 }
 
-// View is what the node knows of the others.
+// View holds the addresses of the other nodes that are known to be up.
 type View struct {
-	// Alive are the control addresses of the members of the failure domain that
-	// take part.
+	// Alive are the control addresses of the active members of the node's failure
+	// domain.
 	Alive []string
-	// Replicas are those of the replicas of the settings, in any domain, that are
-	// in reach as far as is known.
+	// Replicas are the control addresses of the settings replicas, in any domain,
+	// that are assumed reachable.
 	Replicas []string
 }
 
-// Core is the state of one node. It is not safe for concurrent use.
+// Scheduler decides when a node syncs and with which addresses. It is not safe for
+// concurrent use.
 type Scheduler struct {
-	opt       Options
-	bootstrap []string
-	view      View
-	// lostMembers are the addresses of members that took part and no longer do,
-	// and lostReplicas those of replicas that were known and no longer are, each
-	// with the time since when.
+	opt            Options
+	bootstrapAddrs []string
+	view           View
+	// lostMembers and lostReplicas are the addresses that dropped out of the view's
+	// Alive and Replicas, with the time at which they did.
 	lostMembers, lostReplicas map[string]time.Duration
-	// seeds are addresses in this domain that nodes of other domains named,
-	// foreign is how often one of those answered before a member did, and home
-	// is an address from the settings that stands in this domain.
-	seeds   []string
-	foreign int
-	home    string
-	joined  bool
-	// asked are the addresses whose answer is awaited, answered those that have
-	// answered since the last round, and tried when each was looked at last.
-	asked, answered map[string]bool
-	tried           map[string]time.Duration
+	// seedAddrs are the addresses in this domain that a node of another domain
+	// reported last, foreignReplies counts the replies from other domains, and
+	// localBootstrapAddr is a bootstrap address in this domain.
+	seedAddrs          []string
+	foreignReplies     int
+	localBootstrapAddr string
+	joined             bool
+	// pending are the addresses of syncs in progress, replied those that have replied
+	// since the last round, and lastProbed is the time of each address's last probe.
+	pending, replied map[string]bool
+	lastProbed       map[string]time.Duration
 
-	rounds    int
-	nextRound time.Duration
-	looks     int
-	nextLook  time.Duration
+	roundCount int
+	nextRound  time.Duration
+	probeCount int
+	nextProbe  time.Duration
 }
 
-// New returns the core of a node that knows nobody, started at time 0.
+// New returns the scheduler of a process that started at time 0 and knows no other node.
 func New(o Options) *Scheduler {
 	return &Scheduler{
 		opt: o, lostMembers: map[string]time.Duration{}, lostReplicas: map[string]time.Duration{},
-		asked: map[string]bool{}, answered: map[string]bool{}, tried: map[string]time.Duration{},
+		pending: map[string]bool{}, replied: map[string]bool{}, lastProbed: map[string]time.Duration{},
 	}
 }
 
-// SetBootstrap takes over the control addresses from the settings, of nodes of
-// any failure domain.
-func (c *Scheduler) SetBootstrap(addrs []string) { c.bootstrap = slices.Clone(addrs) }
+// SetBootstrap replaces the bootstrap addresses: control addresses from the settings, of
+// nodes in any failure domain.
+func (s *Scheduler) SetBootstrap(addrs []string) { s.bootstrapAddrs = slices.Clone(addrs) }
 
-// See takes over what the node knows now.
-func (c *Scheduler) UpdateView(now time.Duration, v View) {
-	looking := c.looking()
-	lose(now, c.lostMembers, c.view.Alive, v.Alive)
-	lose(now, c.lostReplicas, c.view.Replicas, v.Replicas)
-	c.view = v
-	if !looking {
-		// The members that lose somebody together look at different times.
-		c.nextLook = now + time.Duration(c.opt.Rand.Float64()*float64(c.lookPeriod()))
+// UpdateView replaces the node's view of the other nodes.
+func (s *Scheduler) UpdateView(now time.Duration, v View) {
+	wasProbing := s.probing()
+	updateLost(now, s.lostMembers, s.view.Alive, v.Alive)
+	updateLost(now, s.lostReplicas, s.view.Replicas, v.Replicas)
+	s.view = v
+	if !wasProbing {
+		// Members that lose the same node at once probe at different times.
+		s.nextProbe = now + time.Duration(s.opt.Rand.Float64()*float64(s.probeInterval()))
 	}
 }
 
-// lose notes what is no longer there, and forgets what is there again.
-func lose(now time.Duration, lost map[string]time.Duration, before, after []string) {
+// updateLost adds the addresses that dropped out of a view to lost, and removes those
+// that are in it again.
+func updateLost(now time.Duration, lost map[string]time.Duration, before, after []string) {
 	for _, addr := range before {
 		lost[addr] = now
 	}
@@ -143,129 +147,132 @@
 	}
 }
 
-// Joined tells whether the node has met its failure domain, or may take itself
-// for the first of it.
-func (c *Scheduler) Joined() bool { return c.joined }
+// Joined reports whether the node has found its failure domain, or may assume that it is
+// the first node there.
+func (s *Scheduler) Joined() bool { return s.joined }
 
-// Young tells whether the process is young.
-func InStartup(now time.Duration) bool { return now < youngFor }
+// InStartup reports whether a process that started at time 0 is in its startup period.
+func InStartup(now time.Duration) bool { return now < startupPeriod }
 
-// Next returns when Due has something to do.
-func (c *Scheduler) NextDue() time.Duration {
-	if c.looking() {
-		return min(c.nextRound, c.nextLook)
+// NextDue returns the time at which DueTargets must be called next.
+func (s *Scheduler) NextDue() time.Duration {
+	if s.probing() {
+		return min(s.nextRound, s.nextProbe)
 	}
-	return c.nextRound
+	return s.nextRound
 }
 
-// Due returns the addresses to compare records with now. Each must be answered
-// by Answered or Failed; until then it is not returned again.
-func (c *Scheduler) DueTargets(now time.Duration) []Target {
+// DueTargets returns the addresses to sync with now. The caller must report the result of
+// each by RecordReply or RecordFailure; until then the address is not returned again.
+func (s *Scheduler) DueTargets(now time.Duration) []Target {
 	targets := map[string]time.Duration{}
-	if c.looking() && now >= c.nextLook {
-		c.look(now, targets)
-		c.nextLook = now + c.vary(c.lookPeriod(), lookSpread)
-		c.looks++
+	if s.probing() && now >= s.nextProbe {
+		s.addProbeTarget(now, targets)
+		s.nextProbe = now + s.jitter(s.probeInterval(), probeJitter)
+		s.probeCount++
 	}
-	if now >= c.nextRound {
-		c.round(now, targets)
-		c.nextRound = now + c.roundWait(now)
-		c.rounds++
-		clear(c.answered)
+	if now >= s.nextRound {
+		s.addRoundTargets(now, targets)
+		s.nextRound = now + s.roundInterval(now)
+		s.roundCount++
+		clear(s.replied)
 	}
-	return c.ask(targets)
+	return s.markPending(targets)
 }
 
-func (c *Scheduler) ask(targets map[string]time.Duration) []Target {
+// markPending marks addresses as pending and returns them sorted, without the node's own
+// and those already pending.
+func (s *Scheduler) markPending(targets map[string]time.Duration) []Target {
 	var out []Target
 	for _, addr := range slices.Sorted(maps.Keys(targets)) {
-		if addr == "" || addr == c.opt.Self || c.asked[addr] {
+		if addr == "" || addr == s.opt.Self || s.pending[addr] {
 			continue
 		}
-		c.asked[addr] = true
+		s.pending[addr] = true
 		out = append(out, Target{addr, targets[addr]})
 	}
 	return out
 }
 
-func (c *Scheduler) roundWait(now time.Duration) time.Duration {
+// roundInterval returns the time until the next round.
+func (s *Scheduler) roundInterval(now time.Duration) time.Duration {
 	switch {
 	case InStartup(now):
-		return youngPeriod
-	case !c.joined:
-		return joinRetry
+		return startupSyncInterval
+	case !s.joined:
+		return joinRetryInterval
 	default:
-		return c.vary(period, spread)
+		return s.jitter(syncInterval, syncJitter)
 	}
 }
 
-// vary returns a time that differs from d by a random part of it, at most part.
-func (c *Scheduler) vary(d time.Duration, part float64) time.Duration {
-	return time.Duration(float64(d) * (1 + part*(2*c.opt.Rand.Float64()-1)))
+// jitter returns d varied at random by at most the given fraction either way.
+func (s *Scheduler) jitter(d time.Duration, fraction float64) time.Duration {
+	return time.Duration(float64(d) * (1 + fraction*(2*s.opt.Rand.Float64()-1)))
 }
 
-// round adds the addresses of one round. A young process asks a few at once, as
-// many addresses from the settings may be down: a member, the address from the
-// settings that stands in this failure domain, or all of them while none is known
-// to, and one that another domain named.
-func (c *Scheduler) round(now time.Duration, targets map[string]time.Duration) {
+// addRoundTargets adds the addresses of one sync round. During startup, when many
+// addresses may be down, these are a peer, a seed address and the bootstrap address in
+// this failure domain or, while that is unknown, all bootstrap addresses.
+func (s *Scheduler) addRoundTargets(now time.Duration, targets map[string]time.Duration) {
 	if !InStartup(now) {
-		targets[c.partner(bootstrapEvery)] = timeout
+		targets[s.pickSyncPeer(roundsPerBootstrapSync)] = syncTimeout
 		return
 	}
-	targets[c.partner(youngBootstrapEvery)] = youngTimeout
-	targets[c.pick(c.seeds)] = youngTimeout
-	targets[c.home] = youngTimeout
-	if c.home != "" {
+	targets[s.pickSyncPeer(startupRoundsPerBootstrapSync)] = startupSyncTimeout
+	targets[s.pickRandomOther(s.seedAddrs)] = startupSyncTimeout
+	targets[s.localBootstrapAddr] = startupSyncTimeout
+	if s.localBootstrapAddr != "" {
 		return
 	}
-	for _, addr := range c.bootstrap {
-		targets[addr] = youngTimeout
+	for _, addr := range s.bootstrapAddrs {
+		targets[addr] = startupSyncTimeout
 	}
 }
 
-// partner returns a random member, or, once in so many rounds and always while
-// there is none, an address from the settings or one that another domain named.
-func (c *Scheduler) partner(every int) string {
-	if len(c.view.Alive) == 0 || c.rounds%every == 0 {
-		if addr := c.pick(slices.Concat(c.bootstrap, c.seeds)); addr != "" {
+// pickSyncPeer returns a random member or, once in roundsPerBootstrap rounds and always
+// while no member is known, a random bootstrap or seed address.
+func (s *Scheduler) pickSyncPeer(roundsPerBootstrap int) string {
+	if len(s.view.Alive) == 0 || s.roundCount%roundsPerBootstrap == 0 {
+		if addr := s.pickRandomOther(slices.Concat(s.bootstrapAddrs, s.seedAddrs)); addr != "" {
 			return addr
 		}
 	}
-	return c.pick(c.view.Alive)
+	return s.pickRandomOther(s.view.Alive)
 }
 
-// pick returns a random address that is not the node's own, or "".
-func (c *Scheduler) pick(addrs []string) string {
+// pickRandomOther returns a random address that is not the node's own, or "" if there is
+// none.
+func (s *Scheduler) pickRandomOther(addrs []string) string {
 	var others []string
 	for _, a := range addrs {
-		if a != c.opt.Self {
+		if a != s.opt.Self {
 			others = append(others, a)
 		}
 	}
 	if len(others) == 0 {
 		return ""
 	}
-	return others[c.opt.Rand.IntN(len(others))]
+	return others[s.opt.Rand.IntN(len(others))]
 }
 
-// Answered takes in the answer of the node at an address.
-func (c *Scheduler) RecordReply(addr string, a PeerInfo) {
-	delete(c.asked, addr)
-	c.answered[addr] = true
-	if a.Domain == c.opt.Domain {
-		c.joined = true
-		if slices.Contains(c.bootstrap, addr) {
-			c.home = addr
+// RecordReply records a successful sync with the node at an address.
+func (s *Scheduler) RecordReply(addr string, info PeerInfo) {
+	delete(s.pending, addr)
+	s.replied[addr] = true
+	if info.Domain == s.opt.Domain {
+		s.joined = true
+		if slices.Contains(s.bootstrapAddrs, addr) {
+			s.localBootstrapAddr = addr
 		}
 		return
 	}
-	c.seeds = a.Seeds
-	c.foreign++
-	if c.pick(c.seeds) == "" || len(c.view.Alive) > 0 || c.foreign >= foreignEnough {
-		c.joined = true
+	s.seedAddrs = info.Seeds
+	s.foreignReplies++
+	if s.pickRandomOther(s.seedAddrs) == "" || len(s.view.Alive) > 0 || s.foreignReplies >= foreignRepliesToJoin {
+		s.joined = true
 	}
 }
 
-// Failed notes that the node at an address did not answer.
-func (c *Scheduler) RecordFailure(addr string) { delete(c.asked, addr) }
+// RecordFailure records a failed sync with the node at an address.
+func (s *Scheduler) RecordFailure(addr string) { delete(s.pending, addr) }
--- a/discovery/doc.go
+++ b/discovery/doc.go
@@ -1,15 +1,15 @@
-// Package discovery decides with whom a node compares its records, and when:
-// how a new process finds the others, and how two that have lost each other meet
-// again.
+// Package discovery schedules the syncs of a node's gossip records with other nodes. The
+// schedule lets a new process find its failure domain, and lets nodes that lost contact
+// find each other again.
 //
-// The core is pure. It takes what the node knows and what its comparisons came
-// to, with a time, and returns the addresses to ask next:
+// A Scheduler performs no I/O. It takes the node's view of the members, the results of
+// syncs and the current time, and returns the addresses to sync with:
 //
-//	c := discovery.New(discovery.Options{Self: "10.0.0.1:7441", Domain: "a", Rand: rng})
-//	c.SetBootstrap([]string{"10.0.0.2:7441"})
-//	for _, t := range c.Due(now) {
-//		// Compare records with t.Addr, within t.Timeout, then
-//		c.Answered(t.Addr, discovery.Answer{Domain: "a"}) // or c.Failed(t.Addr)
+//	s := discovery.New(discovery.Options{Self: "10.0.0.1:7441", Domain: "a", Rand: rng})
+//	s.SetBootstrap([]string{"10.0.0.2:7441"})
+//	for _, t := range s.DueTargets(now) {
+//		// Sync with t.Addr within t.Timeout, then call
+//		s.RecordReply(t.Addr, discovery.PeerInfo{Domain: "a"}) // or s.RecordFailure(t.Addr)
 //	}
-//	// and again at c.Next().
+//	// Call DueTargets again at s.NextDue().
 package discovery
--- a/discovery/faults_test.go
+++ b/discovery/faults_test.go
@@ -10,19 +10,18 @@
 )
 
 const (
-	// faultSeries is how many fleets are disturbed, each by faultCount faults that
-	// begin within faultsFor.
-	faultSeries = 200
-	faultCount  = 8
-	faultsFor   = 12 * time.Second
-	// faultsDue is how long a change, made as the last faults end, may take to be
-	// in force everywhere.
-	faultsDue = 2 * time.Second
+	// faultScenarioCount is the number of simulated clusters, each with
+	// faultsPerScenario faults that begin within faultWindow.
+	faultScenarioCount = 200
+	faultsPerScenario  = 8
+	faultWindow        = 12 * time.Second
+	// maxPropagationTime bounds the time from a change of settings, made when the last
+	// faults end, until it is active on every node.
+	maxPropagationTime = 2 * time.Second
 )
 
-// disturb begins one random fault, which ends by itself, at the time end at the
-// latest.
-func (r *reunion) disturb(end time.Duration) {
+// injectFault starts a random fault that ends by itself, at the latest at the given time.
+func (r *recoveryScenario) injectFault(end time.Duration) {
 	all := slices.Concat(r.replicas, r.nodes)
 	d := 200*time.Millisecond + time.Duration(r.rng.Int64N(int64(7*time.Second)))
 	d = min(d, end-r.now)
@@ -43,31 +42,31 @@
 		}
 	case 4:
 		domain := r.domains[all[r.rng.IntN(len(all))]]
-		r.apart[domain] = true
-		r.after(d, func() { delete(r.apart, domain) })
+		r.isolatedDomains[domain] = true
+		r.after(d, func() { delete(r.isolatedDomains, domain) })
 	case 5:
 		addr := all[r.rng.IntN(len(all))]
-		r.cut[addr] = true
-		r.after(d, func() { delete(r.cut, addr) })
+		r.unreachable[addr] = true
+		r.after(d, func() { delete(r.unreachable, addr) })
 	}
 }
 
-// restart ends the process at an address and starts another there a while later.
-func (r *reunion) restart(addr string, down time.Duration) {
-	old := r.at[addr]
+// restart stops the process at an address and starts a new one there after the downtime.
+func (r *recoveryScenario) restart(addr string, down time.Duration) {
+	old := r.processes[addr]
 	if old == nil {
 		return
 	}
 	r.stop(addr)
 	r.after(down, func() {
-		if r.at[addr] == nil {
-			r.start(addr, old.domain, old.version)
+		if r.processes[addr] == nil {
+			r.start(addr, old.domain, old.settingsVersion)
 		}
 	})
 }
 
-// replace ends the node for good; another starts at a new address.
-func (r *reunion) replace(i int, down time.Duration) {
+// replace stops a node and starts a new one at another address after the downtime.
+func (r *recoveryScenario) replace(i int, down time.Duration) {
 	old := r.nodes[i]
 	next := fmt.Sprintf("%s'", old)
 	r.nodes[i] = next
@@ -76,34 +75,33 @@
 	r.after(down, func() { r.start(next, r.domains[next], 1) })
 }
 
-// TestWhateverWasLostTheFleetMeetsAgain: restarts, replacements, cuts of domains and
-// of single nodes, losses of all replicas, in series and overlapping; many end
-// together. At that moment a change is made at the replicas; it must be in force on
-// every node within two seconds.
-func TestWhateverWasLostTheFleetMeetsAgain(t *testing.T) {
+// TestSettingsReachAllNodesAfterOverlappingFaults checks that a change of settings made
+// when restarts, replacements, partitions and losses of all replicas end becomes active on
+// every node within maxPropagationTime.
+func TestSettingsReachAllNodesAfterOverlappingFaults(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var took []time.Duration
-	for seed := range uint64(faultSeries) {
-		r := newReunion(seed)
+	for seed := range uint64(faultScenarioCount) {
+		r := newRecoveryScenario(seed)
 		r.run(8 * time.Second)
-		end := r.now + faultsFor
-		for range faultCount {
-			r.after(time.Duration(r.rng.Int64N(int64(faultsFor))), func() { r.disturb(end) })
+		end := r.now + faultWindow
+		for range faultsPerScenario {
+			r.after(time.Duration(r.rng.Int64N(int64(faultWindow))), func() { r.injectFault(end) })
 		}
-		r.run(faultsFor + time.Millisecond)
+		r.run(faultWindow + time.Millisecond)
 		changed := r.now
 		for _, addr := range r.replicas {
-			r.at[addr].force(2)
+			r.processes[addr].applySettings(2)
 		}
-		r.runUntil(changed+reunionGiveUp, func() bool {
-			return !slices.ContainsFunc(r.nodes, func(addr string) bool { return r.at[addr].version < 2 })
+		r.runUntil(changed+recoveryTimeout, func() bool {
+			return !slices.ContainsFunc(r.nodes, func(addr string) bool { return r.processes[addr].settingsVersion < 2 })
 		})
 		took = append(took, r.now-changed)
-		if r.now-changed > faultsDue {
+		if r.now-changed > maxPropagationTime {
 			t.Logf("seed %d: %s", seed, r.now-changed)
 		}
 	}
 	slices.Sort(took)
-	t.Logf("in force after %s", distribution(took))
-	g.Expect(took[len(took)-1]).To(gomega.BeNumerically("<=", faultsDue))
+	t.Logf("active after %s", formatQuantiles(took))
+	g.Expect(took[len(took)-1]).To(gomega.BeNumerically("<=", maxPropagationTime))
 }
--- a/discovery/fleet_test.go
+++ b/discovery/fleet_test.go
@@ -12,87 +12,89 @@
 	"github.com/umberthread/umberthread/member"
 )
 
-// The fleet of these tests runs in virtual time: the real gossip cores and the
-// real discovery, joined as a node joins them, over a network with delays, losses,
-// cuts and addresses that do not answer.
+// These tests run gossip cores and schedulers, connected as in a node, in virtual time
+// over a simulated network with delays, packet loss and partitions.
 const (
-	simTick    = 25 * time.Millisecond
-	simDelay   = time.Millisecond
-	simLoss    = 0.005
-	simNudges  = 3
-	simLinking = 3
-	simLink    = time.Second
-	simAskers  = 6
-	// simLinkTimeout bounds an exchange between failure domains.
-	simLinkTimeout = 600 * time.Millisecond
+	simTickInterval     = 25 * time.Millisecond
+	simPacketDelay      = time.Millisecond
+	simPacketLoss       = 0.005
+	simUrgentPings      = 3
+	simLinkMembers      = 3
+	simExchangeInterval = time.Second
+	simMaxRequesters    = 6
+	// simExchangeTimeout bounds an exchange between failure domains.
+	simExchangeTimeout = 600 * time.Millisecond
 	// simFetchTimeout bounds a fetch of settings.
 	simFetchTimeout = 300 * time.Millisecond
 )
 
-type event struct {
+// simEvent is a function to run at a virtual time. seq orders events of the same time.
+type simEvent struct {
 	at  time.Duration
 	seq int
 	run func()
 }
 
-type events []event
+// eventQueue is a heap of events ordered by time.
+type eventQueue []simEvent
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(v any)   { *e = append(*e, v.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(v any)   { *e = append(*e, v.(simEvent)) }
+func (e *eventQueue) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
 }
 
-// fleet is all processes by their addresses.
-type fleet struct {
-	rng   *rand.Rand
-	now   time.Duration
-	queue events
-	seq   int
-	at    map[string]*process
-	seeds []string
-	// cut are the addresses that nobody reaches, and apart the failure domains
-	// that are cut off from the others.
-	cut, apart map[string]bool
-	// looks counts the comparisons that were begun.
-	looks int
+// simCluster is a set of processes on a simulated network in virtual time.
+type simCluster struct {
+	rng            *rand.Rand
+	now            time.Duration
+	queue          eventQueue
+	seq            int
+	processes      map[string]*simProcess
+	bootstrapAddrs []string
+	// unreachable are the addresses cut off from all others, and isolatedDomains the
+	// failure domains cut off from the others.
+	unreachable, isolatedDomains map[string]bool
+	// syncsStarted counts the syncs started by schedulers.
+	syncsStarted int
 }
 
-// process is one start of a node.
-type process struct {
-	f                *fleet
+// simProcess is one incarnation of a node.
+type simProcess struct {
+	cluster          *simCluster
 	id, addr, domain string
 	started          time.Duration
 	gossip           *gossip.Core
-	finder           *Scheduler
-	version          int
+	scheduler        *Scheduler
+	settingsVersion  int
 	fetching         bool
 	members          map[string]gossip.Member
 	links            map[string]member.Link
-	learned          map[string]string
-	askers           map[string][]string
-	findAt           time.Duration
+	domainAddrs      map[string]string
+	requesters       map[string][]string
+	nextSyncAt       time.Duration
 }
 
-func newFleet(seed uint64) *fleet {
-	return &fleet{rng: rand.New(rand.NewPCG(seed, 11)), at: map[string]*process{}, cut: map[string]bool{}, apart: map[string]bool{}}
+func newSimCluster(seed uint64) *simCluster {
+	return &simCluster{rng: rand.New(rand.NewPCG(seed, 11)), processes: map[string]*simProcess{}, unreachable: map[string]bool{}, isolatedDomains: map[string]bool{}}
 }
 
-func (f *fleet) after(d time.Duration, run func()) {
+// after schedules a function to run after a delay.
+func (f *simCluster) after(d time.Duration, run func()) {
 	f.seq++
-	heap.Push(&f.queue, event{f.now + d, f.seq, run})
+	heap.Push(&f.queue, simEvent{f.now + d, f.seq, run})
 }
 
-// runUntil plays until a time, or until done tells that it is enough.
-func (f *fleet) runUntil(end time.Duration, done func() bool) {
+// runUntil advances virtual time to end, or until done returns true.
+func (f *simCluster) runUntil(end time.Duration, done func() bool) {
 	for len(f.queue) > 0 && f.queue[0].at <= end && !done() {
-		e := heap.Pop(&f.queue).(event)
+		e := heap.Pop(&f.queue).(simEvent)
 		f.now = e.at
 		e.run()
 	}
@@ -101,101 +103,102 @@
 	}
 }
 
-func (f *fleet) run(d time.Duration) { f.runUntil(f.now+d, func() bool { return false }) }
+func (f *simCluster) run(d time.Duration) { f.runUntil(f.now+d, func() bool { return false }) }
 
-// start runs a new process at an address.
-func (f *fleet) start(addr, domain string, version int) *process {
+// start starts a new process at an address.
+func (f *simCluster) start(addr, domain string, version int) *simProcess {
 	f.seq++
-	p := &process{
-		f: f, id: fmt.Sprintf("%s#%d", addr, f.seq), addr: addr, domain: domain, started: f.now, version: version,
-		members: map[string]gossip.Member{}, links: map[string]member.Link{}, learned: map[string]string{}, askers: map[string][]string{},
+	p := &simProcess{
+		cluster: f, id: fmt.Sprintf("%s#%d", addr, f.seq), addr: addr, domain: domain, started: f.now, settingsVersion: version,
+		members: map[string]gossip.Member{}, links: map[string]member.Link{}, domainAddrs: map[string]string{}, requesters: map[string][]string{},
 	}
 	p.gossip = gossip.New(gossip.Member{ID: p.id, Addr: addr}, gossip.Options{
 		ProbeInterval: 500 * time.Millisecond, AckTimeout: 150 * time.Millisecond, SuspicionTimeout: 2 * time.Second, DepartedRetention: 30 * time.Second,
 		IndirectProbes: 3, MaxPiggybackBytes: 1100, Rand: f.rng,
 	})
-	p.finder = New(Options{Self: addr, Domain: domain, Rand: f.rng})
-	p.finder.SetBootstrap(f.seeds)
-	f.at[addr] = p
-	p.tick()
-	p.find()
-	p.link()
+	p.scheduler = New(Options{Self: addr, Domain: domain, Rand: f.rng})
+	p.scheduler.SetBootstrap(f.bootstrapAddrs)
+	f.processes[addr] = p
+	p.tickGossip()
+	p.runDueSyncs()
+	p.runExchanges()
 	return p
 }
 
-func (f *fleet) stop(addr string) { delete(f.at, addr) }
+func (f *simCluster) stop(addr string) { delete(f.processes, addr) }
 
-// up tells whether the process still runs.
-func (p *process) up() bool { return p.f.at[p.addr] == p }
+// running reports whether the process has not been stopped.
+func (p *simProcess) running() bool { return p.cluster.processes[p.addr] == p }
 
-// clock is the time since the process started.
-func (p *process) clock() time.Duration { return p.f.now - p.started }
+// uptime returns the time since the process started.
+func (p *simProcess) uptime() time.Duration { return p.cluster.now - p.started }
 
-// reaches returns the process at an address, nil if none answers there.
-func (p *process) reaches(addr string) *process {
-	if p.f.cut[p.addr] || p.f.cut[addr] {
+// reachablePeer returns the process at an address, or nil if none can be reached there.
+func (p *simProcess) reachablePeer(addr string) *simProcess {
+	if p.cluster.unreachable[p.addr] || p.cluster.unreachable[addr] {
 		return nil
 	}
-	q := p.f.at[addr]
-	if q != nil && q.domain != p.domain && (p.f.apart[p.domain] || p.f.apart[q.domain]) {
+	q := p.cluster.processes[addr]
+	if q != nil && q.domain != p.domain && (p.cluster.isolatedDomains[p.domain] || p.cluster.isolatedDomains[q.domain]) {
 		return nil
 	}
 	return q
 }
 
-// call runs a remote call: serve at the process at addr, then reply here; lost
-// if none answers within the timeout.
-func (p *process) call(addr string, timeout time.Duration, serve func(q *process), reply, lost func()) {
-	p.f.after(simDelay, func() {
-		q := p.reaches(addr)
+// call simulates a remote call: it runs serve on the process at addr, then reply here. If
+// none is reachable, it runs lost after the timeout.
+func (p *simProcess) call(addr string, timeout time.Duration, serve func(q *simProcess), reply, lost func()) {
+	p.cluster.after(simPacketDelay, func() {
+		q := p.reachablePeer(addr)
 		if q == nil {
-			p.f.after(timeout, func() { p.ifUp(lost) })
+			p.cluster.after(timeout, func() { p.ifRunning(lost) })
 			return
 		}
 		serve(q)
-		p.f.after(simDelay, func() { p.ifUp(reply) })
+		p.cluster.after(simPacketDelay, func() { p.ifRunning(reply) })
 	})
 }
 
-func (p *process) ifUp(run func()) {
-	if p.up() {
+// ifRunning calls a function unless the process has been stopped.
+func (p *simProcess) ifRunning(run func()) {
+	if p.running() {
 		run()
 	}
 }
 
-// isReplica tells whether an address is that of a replica.
+// isReplica reports whether an address is that of a settings replica.
 func isReplica(addr string) bool { return strings.HasSuffix(addr, "/replica") }
 
-// tick drives the gossip, for as long as the process runs.
-func (p *process) tick() {
-	p.gossip.Tick(p.clock())
-	p.work()
-	p.f.after(simTick, func() { p.ifUp(p.tick) })
+// tickGossip ticks the gossip core periodically while the process runs.
+func (p *simProcess) tickGossip() {
+	p.gossip.Tick(p.uptime())
+	p.processGossipOutput()
+	p.cluster.after(simTickInterval, func() { p.ifRunning(p.tickGossip) })
 }
 
-// work sends what the gossip core wants sent and takes in its events.
-func (p *process) work() {
+// processGossipOutput sends the gossip core's packets and handles its events.
+func (p *simProcess) processGossipOutput() {
 	outs, events := p.gossip.TakeOutput()
 	for _, o := range outs {
-		o.Packet.Config = uint64(p.version)
-		if p.f.rng.Float64() < simLoss {
+		o.Packet.Config = uint64(p.settingsVersion)
+		if p.cluster.rng.Float64() < simPacketLoss {
 			continue
 		}
-		p.f.after(simDelay, func() {
-			if q := p.reaches(o.Addr); q != nil {
-				q.receive(p.addr, o.Packet)
+		p.cluster.after(simPacketDelay, func() {
+			if q := p.reachablePeer(o.Addr); q != nil {
+				q.receivePacket(p.addr, o.Packet)
 			}
 		})
 	}
 	for _, e := range events {
-		p.take(e)
+		p.handleEvent(e)
 	}
 	if len(events) > 0 {
-		p.see()
+		p.updateView()
 	}
 }
 
-func (p *process) take(e gossip.Event) {
+func (p *simProcess) handleEvent(e gossip.Event) {
 	switch {
 	case e.Member != nil && e.Member.Status == gossip.Dead:
 		delete(p.members, e.Member.ID)
@@ -208,8 +211,8 @@
 	}
 }
 
-// see tells the discovery which members take part.
-func (p *process) see() {
+// updateView passes the addresses of active members and replicas to the scheduler.
+func (p *simProcess) updateView() {
 	var v View
 	for _, m := range p.members {
 		if m.Status == gossip.Leaving {
@@ -220,114 +223,117 @@
 			v.Replicas = append(v.Replicas, m.Addr)
 		}
 	}
-	for _, domain := range p.linked() {
-		for _, addr := range p.control(domain) {
+	for _, domain := range p.linkedDomains() {
+		for _, addr := range p.controlAddrs(domain) {
 			if isReplica(addr) {
 				v.Replicas = append(v.Replicas, addr)
 			}
 		}
 	}
 	slices.Sort(v.Alive)
-	p.finder.UpdateView(p.clock(), v)
-	if at := p.started + p.finder.NextDue(); at < p.findAt {
-		p.findAt = at
-		p.f.after(max(0, at-p.f.now), func() { p.ifUp(p.find) })
+	p.scheduler.UpdateView(p.uptime(), v)
+	if at := p.started + p.scheduler.NextDue(); at < p.nextSyncAt {
+		p.nextSyncAt = at
+		p.cluster.after(max(0, at-p.cluster.now), func() { p.ifRunning(p.runDueSyncs) })
 	}
 }
 
-func (p *process) receive(addr string, k gossip.Packet) {
+func (p *simProcess) receivePacket(addr string, k gossip.Packet) {
 	if m, ok := p.members[k.From]; ok {
-		p.heard(m.Addr, int(k.Config))
+		p.fetchNewerSettings(m.Addr, int(k.Config))
 	}
-	p.gossip.HandlePacket(p.clock(), addr, k)
-	p.work()
+	p.gossip.HandlePacket(p.uptime(), addr, k)
+	p.processGossipOutput()
 }
 
-// heard fetches settings from a node that has newer ones.
-func (p *process) heard(addr string, version int) {
-	if version <= p.version || p.fetching {
+// fetchNewerSettings fetches the settings from a node if its version is newer.
+func (p *simProcess) fetchNewerSettings(addr string, version int) {
+	if version <= p.settingsVersion || p.fetching {
 		return
 	}
 	p.fetching = true
 	got := 0
-	p.call(addr, simFetchTimeout, func(q *process) { got = q.version }, func() {
+	p.call(addr, simFetchTimeout, func(q *simProcess) { got = q.settingsVersion }, func() {
 		p.fetching = false
-		p.force(got)
+		p.applySettings(got)
 	}, func() { p.fetching = false })
 }
 
-func (p *process) force(version int) {
-	if version <= p.version {
+// applySettings activates a newer version of the settings and announces it.
+func (p *simProcess) applySettings(version int) {
+	if version <= p.settingsVersion {
 		return
 	}
-	p.version = version
-	p.gossip.PingRandom(simNudges)
-	p.work()
+	p.settingsVersion = version
+	p.gossip.PingRandom(simUrgentPings)
+	p.processGossipOutput()
 	p.exchangeAll()
 }
 
-// find compares records with whom the discovery names.
-func (p *process) find() {
-	if p.f.now < p.findAt {
+// runDueSyncs syncs with the targets that the scheduler returns.
+func (p *simProcess) runDueSyncs() {
+	if p.cluster.now < p.nextSyncAt {
 		return
 	}
-	for _, t := range p.finder.DueTargets(p.clock()) {
-		p.f.looks++
-		p.compare(t)
+	for _, t := range p.scheduler.DueTargets(p.uptime()) {
+		p.cluster.syncsStarted++
+		p.syncWith(t)
 	}
-	p.findAt = p.started + p.finder.NextDue()
-	p.f.after(max(0, p.findAt-p.f.now), func() { p.ifUp(p.find) })
+	p.nextSyncAt = p.started + p.scheduler.NextDue()
+	p.cluster.after(max(0, p.nextSyncAt-p.cluster.now), func() { p.ifRunning(p.runDueSyncs) })
 }
 
-func (p *process) compare(t Target) {
+// syncWith exchanges differing records with a target of the same domain, or obtains seed
+// addresses from one of another domain.
+func (p *simProcess) syncWith(t Target) {
 	var answer PeerInfo
 	var records []gossip.Record
 	var theirs gossip.Digest
 	var version int
 	mine := p.gossip.Digest()
-	serve := func(q *process) {
-		answer.Domain, version = q.domain, q.version
+	serve := func(q *simProcess) {
+		answer.Domain, version = q.domain, q.settingsVersion
 		if q.domain != p.domain {
-			answer.Seeds = slices.Concat(q.control(p.domain), q.askers[p.domain])
-			q.asks(p)
+			answer.Seeds = slices.Concat(q.controlAddrs(p.domain), q.requesters[p.domain])
+			q.recordRequester(p)
 			return
 		}
-		records, theirs = q.differing(mine), q.gossip.Digest()
+		records, theirs = q.sortedDifferingRecords(mine), q.gossip.Digest()
 	}
 	p.call(t.Addr, t.Timeout, serve, func() {
-		p.heard(t.Addr, version)
-		p.finder.RecordReply(t.Addr, answer)
+		p.fetchNewerSettings(t.Addr, version)
+		p.scheduler.RecordReply(t.Addr, answer)
 		if answer.Domain != p.domain {
-			p.learned[answer.Domain] = t.Addr
+			p.domainAddrs[answer.Domain] = t.Addr
 			return
 		}
-		p.gossip.MergeRecords(p.clock(), records)
-		back := p.differing(theirs)
-		p.work()
-		p.call(t.Addr, t.Timeout, func(q *process) {
-			q.gossip.MergeRecords(q.clock(), back)
-			q.work()
+		p.gossip.MergeRecords(p.uptime(), records)
+		back := p.sortedDifferingRecords(theirs)
+		p.processGossipOutput()
+		p.call(t.Addr, t.Timeout, func(q *simProcess) {
+			q.gossip.MergeRecords(q.uptime(), back)
+			q.processGossipOutput()
 		}, func() {}, func() {})
-	}, func() { p.finder.RecordFailure(t.Addr) })
+	}, func() { p.scheduler.RecordFailure(t.Addr) })
 }
 
-// differing returns the records that a process may lack, in one order for each
-// seed.
-func (p *process) differing(d gossip.Digest) []gossip.Record {
+// sortedDifferingRecords returns the records that a process with digest d may lack, sorted
+// by key to keep the simulation deterministic.
+func (p *simProcess) sortedDifferingRecords(d gossip.Digest) []gossip.Record {
 	records := p.gossip.DifferingRecords(d)
 	slices.SortFunc(records, func(a, b gossip.Record) int { return strings.Compare(a.Key, b.Key) })
 	return records
 }
 
-// asks remembers who asked from another failure domain.
-func (p *process) asks(q *process) {
-	kept := slices.DeleteFunc(slices.Clone(p.askers[q.domain]), func(a string) bool { return a == q.addr })
+// recordRequester remembers the address of a requester in another failure domain.
+func (p *simProcess) recordRequester(q *simProcess) {
+	kept := slices.DeleteFunc(slices.Clone(p.requesters[q.domain]), func(a string) bool { return a == q.addr })
 	kept = append(kept, q.addr)
-	p.askers[q.domain] = kept[max(0, len(kept)-simAskers):]
+	p.requesters[q.domain] = kept[max(0, len(kept)-simMaxRequesters):]
 }
 
-// linked returns the other domains that this one has a link to.
-func (p *process) linked() []string {
+// linkedDomains returns the other domains that this one has links to, sorted.
+func (p *simProcess) linkedDomains() []string {
 	var out []string
 	for _, l := range p.links {
 		out = append(out, l.Domain)
@@ -336,8 +342,8 @@
 	return slices.Compact(out)
 }
 
-// control returns the addresses of another domain's linking members.
-func (p *process) control(domain string) []string {
+// controlAddrs returns the control addresses of another domain's link members, sorted.
+func (p *simProcess) controlAddrs(domain string) []string {
 	var out []string
 	for _, l := range p.links {
 		if _, alive := p.members[l.By]; l.Domain == domain && (alive || l.By == p.id) {
@@ -348,39 +354,40 @@
 	return slices.Compact(out)
 }
 
-// linking returns the ids and addresses of the members that link this domain.
-func (p *process) linking() (ids, addrs []string) {
+// linkMembers returns the IDs and the sorted addresses of this domain's link members.
+func (p *simProcess) linkMembers() (ids, addrs []string) {
 	all, byID := []string{p.id}, map[string]string{p.id: p.addr}
 	for id, m := range p.members {
 		if m.Status == gossip.Alive {
 			all, byID[id] = append(all, id), m.Addr
 		}
 	}
-	for _, id := range member.Linking(all, simLinking) {
+	for _, id := range member.Linking(all, simLinkMembers) {
 		ids, addrs = append(ids, id), append(addrs, byID[id])
 	}
 	slices.Sort(addrs)
 	return ids, addrs
 }
 
-// link exchanges with the other domains every second, while this node links.
-func (p *process) link() {
+// runExchanges exchanges with the other domains at every simExchangeInterval.
+func (p *simProcess) runExchanges() {
 	p.exchangeAll()
-	p.f.after(simLink, func() { p.ifUp(p.link) })
+	p.cluster.after(simExchangeInterval, func() { p.ifRunning(p.runExchanges) })
 }
 
-func (p *process) exchangeAll() {
-	ids, _ := p.linking()
+// exchangeAll exchanges with each known domain if this node is a link member.
+func (p *simProcess) exchangeAll() {
+	ids, _ := p.linkMembers()
 	if !slices.Contains(ids, p.id) {
 		return
 	}
 	targets := map[string]string{}
-	for domain, addr := range p.learned {
+	for domain, addr := range p.domainAddrs {
 		targets[domain] = addr
 	}
-	for _, domain := range p.linked() {
-		if control := p.control(domain); len(control) > 0 {
-			targets[domain] = control[p.f.rng.IntN(len(control))]
+	for _, domain := range p.linkedDomains() {
+		if control := p.controlAddrs(domain); len(control) > 0 {
+			targets[domain] = control[p.cluster.rng.IntN(len(control))]
 		}
 	}
 	for _, domain := range sortedKeys(targets) {
@@ -397,25 +404,26 @@
 	return out
 }
 
-func (p *process) exchange(addr string) {
+// exchange swaps link members and settings versions with a node of another domain.
+func (p *simProcess) exchange(addr string) {
 	var domain string
 	var control []string
 	var version int
-	_, own := p.linking()
-	sent := p.version
-	p.call(addr, simLinkTimeout, func(q *process) {
-		_, control = q.linking()
-		domain, version = q.domain, q.version
-		q.met(p.domain, own)
-		q.heard(p.addr, sent)
+	_, own := p.linkMembers()
+	sent := p.settingsVersion
+	p.call(addr, simExchangeTimeout, func(q *simProcess) {
+		_, control = q.linkMembers()
+		domain, version = q.domain, q.settingsVersion
+		q.publishLink(p.domain, own)
+		q.fetchNewerSettings(p.addr, sent)
 	}, func() {
-		p.met(domain, control)
-		p.heard(addr, version)
+		p.publishLink(domain, control)
+		p.fetchNewerSettings(addr, version)
 	}, func() {})
 }
 
-// met spreads within the domain whom to ask in another.
-func (p *process) met(domain string, control []string) {
+// publishLink publishes the control addresses of another domain within this one.
+func (p *simProcess) publishLink(domain string, control []string) {
 	if domain == p.domain {
 		return
 	}
@@ -426,5 +434,5 @@
 		return
 	}
 	p.gossip.Publish(gossip.Record{Key: key, Stamp: old.Stamp + 1, Payload: l.Encode()})
-	p.work()
+	p.processGossipOutput()
 }
--- a/discovery/look.go
+++ b/discovery/look.go
@@ -6,95 +6,96 @@
 	"time"
 )
 
-// lookSpread is the part of the time between two looks of one node by which it
-// varies either way, so that the looks of the members do not fall together.
-const lookSpread = 0.5
+// probeJitter is the fraction of a node's probe interval by which it varies either way,
+// so that the probes of different members are spread in time.
+const probeJitter = 0.5
 
-// lookPeriod is the time between two looks of this node, such that the members
-// of the failure domain together look once in lookEvery.
-func (c *Scheduler) lookPeriod() time.Duration {
-	return lookEvery * time.Duration(1+len(c.view.Alive))
+// probeInterval returns the time between two probes of this node, such that the members
+// of the failure domain together probe once per domainProbeInterval.
+func (s *Scheduler) probeInterval() time.Duration {
+	return domainProbeInterval * time.Duration(1+len(s.view.Alive))
 }
 
-// looking tells whether there is an address to look at.
-func (c *Scheduler) looking() bool {
-	return c.LostAddrCount() > 0
+// probing reports whether there is a lost address to probe.
+func (s *Scheduler) probing() bool {
+	return s.LostAddrCount() > 0
 }
 
-// forget gives up on what was lost long ago.
-func (c *Scheduler) forget(now time.Duration) {
-	long := func(_ string, since time.Duration) bool { return now-since >= forgetLost }
-	maps.DeleteFunc(c.lostMembers, long)
-	maps.DeleteFunc(c.lostReplicas, long)
-	maps.DeleteFunc(c.tried, func(addr string, _ time.Duration) bool { return !c.sought(addr) })
+// expireLost drops the addresses that were lost more than lostRetention ago.
+func (s *Scheduler) expireLost(now time.Duration) {
+	expired := func(_ string, since time.Duration) bool { return now-since >= lostRetention }
+	maps.DeleteFunc(s.lostMembers, expired)
+	maps.DeleteFunc(s.lostReplicas, expired)
+	maps.DeleteFunc(s.lastProbed, func(addr string, _ time.Duration) bool { return !s.isProbeCandidate(addr) })
 }
 
-// Lost returns how many addresses are looked at, as nobody answers there as far as
-// is known.
-func (c *Scheduler) LostAddrCount() int { return len(c.memberAddrs()) + len(c.replicaAddrs()) }
+// LostAddrCount returns the number of addresses to probe: those of lost members and,
+// while no replica is known, those where a replica may be.
+func (s *Scheduler) LostAddrCount() int {
+	return len(s.lostMemberAddrs()) + len(s.possibleReplicaAddrs())
+}
 
-// sought tells whether an address may be looked at, now or once no replica is
+// isProbeCandidate reports whether an address may be probed, now or when no replica is
 // known.
-func (c *Scheduler) sought(addr string) bool {
-	_, member := c.lostMembers[addr]
-	_, replica := c.lostReplicas[addr]
-	return member || replica || slices.Contains(c.bootstrap, addr)
+func (s *Scheduler) isProbeCandidate(addr string) bool {
+	_, member := s.lostMembers[addr]
+	_, replica := s.lostReplicas[addr]
+	return member || replica || slices.Contains(s.bootstrapAddrs, addr)
 }
 
-// look adds the address to look at, of those that nobody answers from as far as
-// is known the one that was looked at longest ago. Lost members and lost replicas
-// take turns, so that a rack of lost members does not hold up the replicas.
-func (c *Scheduler) look(now time.Duration, targets map[string]time.Duration) {
-	c.forget(now)
-	lists := [2][]string{c.memberAddrs(), c.replicaAddrs()}
-	first, second := lists[c.looks%2], lists[(c.looks+1)%2]
-	addr := c.longestAgo(first)
+// addProbeTarget adds the least recently probed lost address. Lost members and replicas
+// alternate, so that many lost members do not delay the search for replicas.
+func (s *Scheduler) addProbeTarget(now time.Duration, targets map[string]time.Duration) {
+	s.expireLost(now)
+	lists := [2][]string{s.lostMemberAddrs(), s.possibleReplicaAddrs()}
+	first, second := lists[s.probeCount%2], lists[(s.probeCount+1)%2]
+	addr := s.leastRecentlyProbed(first)
 	if addr == "" {
-		addr = c.longestAgo(second)
+		addr = s.leastRecentlyProbed(second)
 	}
 	if addr == "" {
 		return
 	}
-	c.tried[addr] = now
-	targets[addr] = lookTimeout
+	s.lastProbed[addr] = now
+	targets[addr] = probeTimeout
 }
 
-// memberAddrs returns where lost members may be. One that answers, as it is still
-// leaving, is left alone until the next round.
-func (c *Scheduler) memberAddrs() []string {
-	addrs := slices.Sorted(maps.Keys(c.lostMembers))
-	return slices.DeleteFunc(addrs, func(a string) bool { return c.answered[a] })
+// lostMemberAddrs returns the addresses of lost members. One that replied, as a leaving
+// member does, is omitted until the next round.
+func (s *Scheduler) lostMemberAddrs() []string {
+	addrs := slices.Sorted(maps.Keys(s.lostMembers))
+	return slices.DeleteFunc(addrs, func(a string) bool { return s.replied[a] })
 }
 
-// replicaAddrs returns where replicas of the settings may be, while none is
-// known: where one was, and the addresses from the settings. What answers there
-// and is no replica is left alone until the next round.
-func (c *Scheduler) replicaAddrs() []string {
-	if len(c.view.Replicas) > 0 {
+// possibleReplicaAddrs returns, while no settings replica is known, the addresses where
+// one may be: those of lost replicas and the bootstrap addresses. One that replied but
+// is no replica is omitted until the next round.
+func (s *Scheduler) possibleReplicaAddrs() []string {
+	if len(s.view.Replicas) > 0 {
 		return nil
 	}
-	addrs := slices.Concat(c.bootstrap, slices.Collect(maps.Keys(c.lostReplicas)))
+	addrs := slices.Concat(s.bootstrapAddrs, slices.Collect(maps.Keys(s.lostReplicas)))
 	addrs = slices.DeleteFunc(addrs, func(a string) bool {
-		return a == c.opt.Self || c.answered[a] || slices.Contains(c.view.Alive, a)
+		return a == s.opt.Self || s.replied[a] || slices.Contains(s.view.Alive, a)
 	})
 	slices.Sort(addrs)
 	return slices.Compact(addrs)
 }
 
-// longestAgo returns the address that was looked at longest ago and is not being
-// asked, a random one of those that never were; "" for none.
-func (c *Scheduler) longestAgo(addrs []string) string {
+// leastRecentlyProbed returns the address probed longest ago that is not pending, or ""
+// if there is none. Ties, as between addresses never probed, are broken at random.
+func (s *Scheduler) leastRecentlyProbed(addrs []string) string {
 	var best []string
 	for _, a := range addrs {
-		if c.asked[a] || a == c.opt.Self {
+		if s.pending[a] || a == s.opt.Self {
 			continue
 		}
 		switch {
-		case len(best) == 0 || c.tried[a] < c.tried[best[0]]:
+		case len(best) == 0 || s.lastProbed[a] < s.lastProbed[best[0]]:
 			best = []string{a}
-		case c.tried[a] == c.tried[best[0]]:
+		case s.lastProbed[a] == s.lastProbed[best[0]]:
 			best = append(best, a)
 		}
 	}
-	return c.pick(best)
+	return s.pickRandomOther(best)
 }
--- a/discovery/reunion_test.go
+++ b/discovery/reunion_test.go
@@ -10,41 +10,39 @@
 )
 
 const (
-	// series is how many fleets are played, and returns how often the replicas
-	// of each are lost and come back.
-	series  = 200
-	returns = 2
-	// reunionDue is the bar on the time from the return of the replicas to their
-	// settings in force on every node, and reunionUsual on that of 99 of 100. Two
-	// seconds are allowed from the acceptance of a change; a replica group takes
-	// up to one of them to elect a leader and the last tenth is for load.
-	reunionDue   = 900 * time.Millisecond
-	reunionUsual = 600 * time.Millisecond
-	// reunionGiveUp ends a series in which the nodes do not meet.
-	reunionGiveUp = 30 * time.Second
+	// scenarioCount is the number of simulated clusters, and lossesPerScenario how
+	// often the replicas of each are lost and return.
+	scenarioCount     = 200
+	lossesPerScenario = 2
+	// maxRecoveryTime bounds the time from the return of the replicas until their
+	// settings are active on every node, and maxRecoveryTimeP99 its 99th percentile.
+	// Of the two seconds allowed for a change, up to one is for the leader election.
+	maxRecoveryTime    = 900 * time.Millisecond
+	maxRecoveryTimeP99 = 600 * time.Millisecond
+	// recoveryTimeout ends a scenario whose nodes do not recover.
+	recoveryTimeout = 30 * time.Second
 )
 
-// loss is how the replicas are lost.
-type loss int
+// lossKind is a way of losing the replicas.
+type lossKind int
 
 const (
-	power loss = iota
-	cut
-	losses
+	powerLoss lossKind = iota
+	networkCut
+	lossKinds
 )
 
-// reunion is a fleet whose replicas are lost and come back together.
-type reunion struct {
-	*fleet
+// recoveryScenario is a cluster whose replicas are lost and return together.
+type recoveryScenario struct {
+	*simCluster
 	replicas, nodes []string
 	domains         map[string]string
 }
 
-// newReunion starts a fleet of three or four failure domains with a replica and
-// two to six nodes each, all within 0.3 s. Three replicas are the addresses that
-// the settings name.
-func newReunion(seed uint64) *reunion {
-	r := &reunion{fleet: newFleet(seed), domains: map[string]string{}}
+// newRecoveryScenario starts a cluster of three or four failure domains with a replica
+// and two to six nodes each. Three replicas are the bootstrap addresses.
+func newRecoveryScenario(seed uint64) *recoveryScenario {
+	r := &recoveryScenario{simCluster: newSimCluster(seed), domains: map[string]string{}}
 	for d := range 3 + r.rng.IntN(2) {
 		domain := string(rune('a' + d))
 		r.replicas = append(r.replicas, domain+"/replica")
@@ -55,26 +53,27 @@
 			r.domains[addr] = domain
 		}
 	}
-	r.seeds = r.replicas[:3]
+	r.bootstrapAddrs = r.replicas[:3]
 	for _, addr := range slices.Concat(r.replicas, r.nodes) {
-		r.startSoon(addr, 1)
+		r.startWithRandomDelay(addr, 1)
 	}
 	return r
 }
 
-func (r *reunion) startSoon(addr string, version int) {
+// startWithRandomDelay starts a process at an address within 0.3 s.
+func (r *recoveryScenario) startWithRandomDelay(addr string, version int) {
 	const within = 300 * time.Millisecond
 	r.after(time.Duration(r.rng.Int64N(int64(within))), func() { r.start(addr, r.domains[addr], version) })
 }
 
-// lose takes the replicas away for a while, with a version that no other node has
-// yet, and brings them back. It returns how long after the first return all nodes
-// had that version.
-func (r *reunion) lose(how loss, down time.Duration, version int) time.Duration {
+// loseReplicas stops or cuts off the replicas for a while and brings them back with a
+// settings version that no other node has. It returns the time from their return until
+// all nodes have that version.
+func (r *recoveryScenario) loseReplicas(how lossKind, down time.Duration, version int) time.Duration {
 	for _, addr := range r.replicas {
-		if how == cut {
-			r.at[addr].version = version
-			r.cut[addr] = true
+		if how == networkCut {
+			r.processes[addr].settingsVersion = version
+			r.unreachable[addr] = true
 			continue
 		}
 		r.stop(addr)
@@ -82,77 +81,77 @@
 	r.run(down)
 	back := r.now
 	for _, addr := range r.replicas {
-		if how == cut {
-			delete(r.cut, addr)
+		if how == networkCut {
+			delete(r.unreachable, addr)
 			continue
 		}
-		r.startSoon(addr, version)
+		r.startWithRandomDelay(addr, version)
 	}
-	r.runUntil(back+reunionGiveUp, func() bool {
-		return !slices.ContainsFunc(r.nodes, func(addr string) bool { return r.at[addr].version < version })
+	r.runUntil(back+recoveryTimeout, func() bool {
+		return !slices.ContainsFunc(r.nodes, func(addr string) bool { return r.processes[addr].settingsVersion < version })
 	})
 	return r.now - back
 }
 
-// TestReplicasThatReturnTogetherAreMetSoon: all replicas lose power or are cut off
-// at once, for longer than it takes to hold them dead. Those that come back know
-// only each other, and the nodes know only addresses at which nobody has answered
-// for a while. Whoever meets a replica first hands the settings on within
-// milliseconds, so what must be bounded is the time to the first meeting.
-func TestReplicasThatReturnTogetherAreMetSoon(t *testing.T) {
+// TestSettingsReachAllNodesAfterReplicasRecover checks that nodes find the replicas again
+// within the bounds after all of them lost power or were cut off long enough to be
+// declared dead.
+func TestSettingsReachAllNodesAfterReplicasRecover(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var took [losses][]time.Duration
-	for seed := range uint64(series) {
-		r := newReunion(seed)
+	var took [lossKinds][]time.Duration
+	for seed := range uint64(scenarioCount) {
+		r := newRecoveryScenario(seed)
 		r.run(8 * time.Second)
-		for i := range returns {
+		for i := range lossesPerScenario {
 			r.run(time.Duration(r.rng.Int64N(int64(10 * time.Second))))
-			how := loss(r.rng.IntN(int(losses)))
+			how := lossKind(r.rng.IntN(int(lossKinds)))
 			down := 3*time.Second + time.Duration(r.rng.Int64N(int64(9*time.Second)))
-			d := r.lose(how, down, 2+i)
+			d := r.loseReplicas(how, down, 2+i)
 			took[how] = append(took[how], d)
 			r.run(8 * time.Second)
 		}
 	}
 	for how, name := range []string{"power lost", "cut off"} {
 		slices.Sort(took[how])
-		t.Logf("%s: %s", name, distribution(took[how]))
+		t.Logf("%s: %s", name, formatQuantiles(took[how]))
 	}
 	for _, ds := range took {
-		g.Expect(quantile(ds, 0.99)).To(gomega.BeNumerically("<=", reunionUsual))
-		g.Expect(ds[len(ds)-1]).To(gomega.BeNumerically("<=", reunionDue))
+		g.Expect(quantile(ds, 0.99)).To(gomega.BeNumerically("<=", maxRecoveryTimeP99))
+		g.Expect(ds[len(ds)-1]).To(gomega.BeNumerically("<=", maxRecoveryTime))
 	}
 }
 
-// TestReplicasThatWereStoppedTogetherAreMetSoon: all replicas stop as planned. They
-// have said that they leave, and are held to be leaving for half a minute.
-func TestReplicasThatWereStoppedTogetherAreMetSoon(t *testing.T) {
+// TestSettingsReachAllNodesAfterPlannedReplicaStop checks the same bounds for replicas
+// that announced that they leave, and so are not declared dead.
+func TestSettingsReachAllNodesAfterPlannedReplicaStop(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var took []time.Duration
-	for seed := range uint64(series) {
-		r := newReunion(seed)
+	for seed := range uint64(scenarioCount) {
+		r := newRecoveryScenario(seed)
 		r.run(8*time.Second + time.Duration(r.rng.Int64N(int64(10*time.Second))))
 		for _, addr := range r.replicas {
-			r.at[addr].gossip.Leave()
-			r.at[addr].gossip.PingRandom(2 * simNudges)
-			r.at[addr].work()
+			r.processes[addr].gossip.Leave()
+			r.processes[addr].gossip.PingRandom(2 * simUrgentPings)
+			r.processes[addr].processGossipOutput()
 		}
 		r.run(time.Second)
 		down := 3*time.Second + time.Duration(r.rng.Int64N(int64(9*time.Second)))
-		took = append(took, r.lose(power, down, 2))
+		took = append(took, r.loseReplicas(powerLoss, down, 2))
 	}
 	slices.Sort(took)
-	t.Logf("stopped: %s", distribution(took))
-	g.Expect(quantile(took, 0.99)).To(gomega.BeNumerically("<=", reunionUsual))
-	g.Expect(took[len(took)-1]).To(gomega.BeNumerically("<=", reunionDue))
+	t.Logf("stopped: %s", formatQuantiles(took))
+	g.Expect(quantile(took, 0.99)).To(gomega.BeNumerically("<=", maxRecoveryTimeP99))
+	g.Expect(took[len(took)-1]).To(gomega.BeNumerically("<=", maxRecoveryTime))
 }
 
+// quantile returns the q-quantile of sorted durations.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-func distribution(sorted []time.Duration) string {
-	out := fmt.Sprintf("%d returns:", len(sorted))
+// formatQuantiles formats quantiles of sorted durations.
+func formatQuantiles(sorted []time.Duration) string {
+	out := fmt.Sprintf("%d recoveries:", len(sorted))
 	for _, q := range []float64{0.5, 0.9, 0.99, 1} {
 		out += fmt.Sprintf(" %g%% %s", 100*q, quantile(sorted, q).Round(time.Millisecond))
 	}
