--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -18,7 +18,7 @@
 // swapped whole.
 type view struct {
 	members  []memberView
-	domains  map[string]links.Domain
+	domains  map[string]links.RemoteDomain
 	replicas []raft.Peer
 }
 
@@ -38,7 +38,7 @@
 	metas     map[string]*memberView
 	summaries map[string]member.Summary
 	links     map[string]member.Link
-	domains   map[string]links.Domain
+	domains   map[string]links.RemoteDomain
 	seen      map[string]*known
 }
 
@@ -53,7 +53,7 @@
 func newTables(n *Node) *tables {
 	return &tables{
 		n: n, metas: map[string]*memberView{}, summaries: map[string]member.Summary{}, links: map[string]member.Link{},
-		domains: map[string]links.Domain{}, seen: map[string]*known{},
+		domains: map[string]links.RemoteDomain{}, seen: map[string]*known{},
 	}
 }
 
@@ -99,7 +99,7 @@
 // refreshDomains works out which failure domains are cut off: those that none
 // of the linking members alive reaches.
 func (t *tables) refreshDomains() {
-	next := map[string]links.Domain{}
+	next := map[string]links.RemoteDomain{}
 	for key, l := range t.links {
 		if l.By != t.n.id && t.metas[l.By] == nil {
 			delete(t.links, key)
