--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -22,7 +22,7 @@
 	// Reachable is false while none of the members that link to it reaches it.
 	Reachable bool
 	// Control are the control addresses of its linking members.
-	Control []string
+	ControlAddrs []string
 }
 
 // State is the state of the exchanges with other failure domains. It is safe for
@@ -64,7 +64,7 @@
 	defer l.mu.Unlock()
 	out := maps.Clone(l.learned)
 	for domain, d := range domains {
-		addrs := slices.Clone(d.Control)
+		addrs := slices.Clone(d.ControlAddrs)
 		if met, ok := l.learned[domain]; ok && !d.Reachable {
 			addrs = append(addrs, met)
 		}
--- a/internal/links/links_test.go
+++ b/internal/links/links_test.go
@@ -72,7 +72,7 @@
 	l.Meet("b", "met:1")
 	l.Learn("b", "told:2")
 	for _, reachable := range []bool{true, false} {
-		domains := map[string]RemoteDomain{"b": {Reachable: reachable, Control: []string{"gone:1"}}}
+		domains := map[string]RemoteDomain{"b": {Reachable: reachable, ControlAddrs: []string{"gone:1"}}}
 		asked := map[string]bool{}
 		for range 200 {
 			asked[l.Targets(domains)["b"]] = true
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -107,7 +107,7 @@
 	reply.Held = n.quarantine.heldNow()
 	n.gossip.heard(bySync, req.Addr, req.Config)
 	if req.Domain != n.opt.Domain {
-		reply.Seeds = n.control.askers.others(req.Domain, req.Addr, n.view.Load().domains[req.Domain].Control)
+		reply.Seeds = n.control.askers.others(req.Domain, req.Addr, n.view.Load().domains[req.Domain].ControlAddrs)
 		return nil
 	}
 	n.gossip.do(func() {
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -107,7 +107,7 @@
 		}
 		d := next[l.Domain]
 		d.Reachable = d.Reachable || l.Reachable
-		d.Control = append(d.Control, l.Control...)
+		d.ControlAddrs = append(d.ControlAddrs, l.Control...)
 		next[l.Domain] = d
 	}
 	for name, d := range next {
