--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -59,7 +59,7 @@
 // Targets returns an address in each other domain that is known: of one of its
 // linking members, or, where it is cut off, now and then the last at which it was
 // met otherwise, as all its linking members may have been replaced meanwhile.
-func (l *State) Targets(domains map[string]RemoteDomain) map[string]string {
+func (l *State) PickTargets(domains map[string]RemoteDomain) map[string]string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := maps.Clone(l.learned)
--- a/internal/links/links_test.go
+++ b/internal/links/links_test.go
@@ -75,7 +75,7 @@
 		domains := map[string]RemoteDomain{"b": {Reachable: reachable, ControlAddrs: []string{"gone:1"}}}
 		asked := map[string]bool{}
 		for range 200 {
-			asked[l.Targets(domains)["b"]] = true
+			asked[l.PickTargets(domains)["b"]] = true
 		}
 		g.Expect(asked).To(gomega.HaveKey("gone:1"))
 		g.Expect(asked["met:1"]).To(gomega.Equal(!reachable))
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -82,7 +82,7 @@
 
 // linkTargets returns an address in each domain that is known.
 func (n *Node) linkTargets() map[string]string {
-	out := n.control.links.Targets(n.view.Load().domains)
+	out := n.control.links.PickTargets(n.view.Load().domains)
 	out[n.opt.Domain] = n.opt.AdvertiseControl
 	return out
 }
