--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -77,7 +77,7 @@
 
 // Learn remembers an address in another failure domain that somebody told of, if
 // none is known.
-func (l *State) Learn(domain, addr string) {
+func (l *State) LearnAddr(domain, addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.learned[domain] == "" {
--- a/internal/links/links_test.go
+++ b/internal/links/links_test.go
@@ -68,9 +68,9 @@
 func TestACutOffDomainIsSoughtWhereverItWasMet(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := New()
-	l.Learn("b", "told:1")
+	l.LearnAddr("b", "told:1")
 	l.Meet("b", "met:1")
-	l.Learn("b", "told:2")
+	l.LearnAddr("b", "told:2")
 	for _, reachable := range []bool{true, false} {
 		domains := map[string]RemoteDomain{"b": {Reachable: reachable, ControlAddrs: []string{"gone:1"}}}
 		asked := map[string]bool{}
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -100,7 +100,7 @@
 func (n *Node) learnDomains(domains map[string]string) {
 	for domain, addr := range domains {
 		if domain != n.opt.Domain {
-			n.control.links.Learn(domain, addr)
+			n.control.links.LearnAddr(domain, addr)
 		}
 	}
 }
