--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -86,7 +86,7 @@
 }
 
 // Meet remembers the address at which another failure domain was met last.
-func (l *State) Meet(domain, addr string) {
+func (l *State) RecordContact(domain, addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.learned[domain] = addr
--- a/internal/links/links_test.go
+++ b/internal/links/links_test.go
@@ -69,7 +69,7 @@
 	g := gomega.NewWithT(t)
 	l := New()
 	l.LearnAddr("b", "told:1")
-	l.Meet("b", "met:1")
+	l.RecordContact("b", "met:1")
 	l.LearnAddr("b", "told:2")
 	for _, reachable := range []bool{true, false} {
 		domains := map[string]RemoteDomain{"b": {Reachable: reachable, ControlAddrs: []string{"gone:1"}}}
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -338,7 +338,7 @@
 		g.n.quarantine.adopt(reply.Held)
 	}
 	if reply.Domain != g.n.opt.Domain {
-		g.n.control.links.Meet(reply.Domain, t.Addr)
+		g.n.control.links.RecordContact(reply.Domain, t.Addr)
 		return answer, nil
 	}
 	var mine []gossip.Record
--- a/internal/node/links_test.go
+++ b/internal/node/links_test.go
@@ -16,7 +16,7 @@
 	a := startNode(t, "a", nil, nil)
 	b := startNode(t, "b", []string{a.opt.Control}, nil)
 	g.Eventually(func() bool { return a.view.Load().domains["b"].Reachable }, 10*time.Second, 5*time.Millisecond).Should(gomega.BeTrue())
-	a.control.links.Meet("silent", silentServer(t))
+	a.control.links.RecordContact("silent", silentServer(t))
 	g.Eventually(a.gossip.young, 20*time.Second, 10*time.Millisecond).Should(gomega.BeFalse())
 	for version := range uint64(20) {
 		a.takeFull(version+1, settings.Entries{"#deadline": formatUint(version+1) + "s"})
