--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -95,7 +95,7 @@
 // Unsent takes over the summaries and returns those that a process has not
 // confirmed, with the stamp up to which it then has them. A service that
 // is gone is told once, as a summary without instances.
-func (l *State) Unsent(id string, now []member.Summary) ([]gossip.Record, uint64) {
+func (l *State) UnackedSummaries(id string, now []member.Summary) ([]gossip.Record, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	present := map[string]bool{}
--- a/internal/links/links_test.go
+++ b/internal/links/links_test.go
@@ -23,24 +23,24 @@
 	g := gomega.NewWithT(t)
 	l := New()
 	now := []member.Summary{summary("f/s", "1"), summary("f/t", "2")}
-	first, upTo := l.Unsent("p", now)
+	first, upTo := l.UnackedSummaries("p", now)
 	g.Expect(first).To(gomega.HaveLen(2))
-	again, _ := l.Unsent("p", now)
+	again, _ := l.UnackedSummaries("p", now)
 	g.Expect(again).To(gomega.HaveLen(2), "nothing was confirmed")
 	l.Met("b", "addr", &control.ExchangeReply{ID: "p", Have: upTo})
-	none, _ := l.Unsent(l.At("addr"), now)
+	none, _ := l.UnackedSummaries(l.At("addr"), now)
 	g.Expect(none).To(gomega.BeEmpty())
 
 	now[0] = summary("f/s", "1", "3")
-	changed, _ := l.Unsent("p", now)
+	changed, _ := l.UnackedSummaries("p", now)
 	g.Expect(changed).To(gomega.HaveLen(1))
 
 	// Another process stands at the address now.
 	l.Met("b", "addr", &control.ExchangeReply{ID: "q"})
-	all, _ := l.Unsent(l.At("addr"), now)
+	all, _ := l.UnackedSummaries(l.At("addr"), now)
 	g.Expect(all).To(gomega.HaveLen(2))
 
-	gone, _ := l.Unsent("q", now[:1])
+	gone, _ := l.UnackedSummaries("q", now[:1])
 	g.Expect(gone).To(gomega.HaveLen(2))
 	s, err := member.DecodeSummary(l.own[member.SummaryKey("a", "f/t")].Payload)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -53,12 +53,12 @@
 	g := gomega.NewWithT(t)
 	l := New()
 	now := []member.Summary{summary("f/s", "1")}
-	_, upTo := l.Unsent("p", now)
+	_, upTo := l.UnackedSummaries("p", now)
 	l.Confirmed(&control.ExchangeRequest{ID: "p", Have: upTo, HaveOf: "me"}, "me")
-	none, _ := l.Unsent("p", now)
+	none, _ := l.UnackedSummaries("p", now)
 	g.Expect(none).To(gomega.BeEmpty())
 	l.Confirmed(&control.ExchangeRequest{ID: "p", Have: upTo, HaveOf: "before"}, "me")
-	all, _ := l.Unsent("p", now)
+	all, _ := l.UnackedSummaries("p", now)
 	g.Expect(all).To(gomega.HaveLen(1))
 }
 
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -138,7 +138,7 @@
 		reply.Have = req.UpTo
 	}
 	l.Confirmed(req, n.id)
-	reply.Records, reply.UpTo = l.Unsent(req.ID, n.summaries())
+	reply.Records, reply.UpTo = l.UnackedSummaries(req.ID, n.summaries())
 	reply.Known, reply.Domains = n.domainsFor(req.Known)
 	n.learnDomains(req.Domains)
 	n.takeExchange(req.Domain, req.Control, req.Records)
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -109,7 +109,7 @@
 	l := n.control.links
 	id := l.At(addr)
 	req := &control.ExchangeRequest{Domain: n.opt.Domain, Control: own, Config: n.conf.Load().version, Addr: n.opt.AdvertiseControl, ID: n.id}
-	req.Records, req.UpTo = l.Unsent(id, n.summaries())
+	req.Records, req.UpTo = l.UnackedSummaries(id, n.summaries())
 	req.HaveOf, req.Have = id, l.HaveOf(id)
 	req.Known, req.Domains = n.domainsFor(l.KnownBy(id))
 	var reply control.ExchangeReply
