--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -134,7 +134,7 @@
 const maxProcesses = 1024
 
 // Met takes in what a reply says of the process at an address.
-func (l *State) Met(domain, addr string, reply *control.ExchangeReply) {
+func (l *State) RecordReply(domain, addr string, reply *control.ExchangeReply) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.process) > maxProcesses {
--- a/internal/links/links_test.go
+++ b/internal/links/links_test.go
@@ -27,7 +27,7 @@
 	g.Expect(first).To(gomega.HaveLen(2))
 	again, _ := l.UnackedSummaries("p", now)
 	g.Expect(again).To(gomega.HaveLen(2), "nothing was confirmed")
-	l.Met("b", "addr", &control.ExchangeReply{ID: "p", Have: upTo})
+	l.RecordReply("b", "addr", &control.ExchangeReply{ID: "p", Have: upTo})
 	none, _ := l.UnackedSummaries(l.At("addr"), now)
 	g.Expect(none).To(gomega.BeEmpty())
 
@@ -36,7 +36,7 @@
 	g.Expect(changed).To(gomega.HaveLen(1))
 
 	// Another process stands at the address now.
-	l.Met("b", "addr", &control.ExchangeReply{ID: "q"})
+	l.RecordReply("b", "addr", &control.ExchangeReply{ID: "q"})
 	all, _ := l.UnackedSummaries(l.At("addr"), now)
 	g.Expect(all).To(gomega.HaveLen(2))
 
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -118,7 +118,7 @@
 		n.linkFailed(domain)
 		return
 	}
-	l.Met(domain, addr, &reply)
+	l.RecordReply(domain, addr, &reply)
 	n.learnDomains(reply.Domains)
 	n.takeExchange(domain, reply.Control, reply.Records)
 	n.gossip.heard(byExchange, addr, reply.Config)
