--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -152,7 +152,7 @@
 }
 
 // Confirmed takes in what the process that asks has of own, and has given.
-func (l *State) Confirmed(req *control.ExchangeRequest, self string) {
+func (l *State) RecordRequest(req *control.ExchangeRequest, self string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.acked[req.ID] = 0
--- a/internal/links/links_test.go
+++ b/internal/links/links_test.go
@@ -54,10 +54,10 @@
 	l := New()
 	now := []member.Summary{summary("f/s", "1")}
 	_, upTo := l.UnackedSummaries("p", now)
-	l.Confirmed(&control.ExchangeRequest{ID: "p", Have: upTo, HaveOf: "me"}, "me")
+	l.RecordRequest(&control.ExchangeRequest{ID: "p", Have: upTo, HaveOf: "me"}, "me")
 	none, _ := l.UnackedSummaries("p", now)
 	g.Expect(none).To(gomega.BeEmpty())
-	l.Confirmed(&control.ExchangeRequest{ID: "p", Have: upTo, HaveOf: "before"}, "me")
+	l.RecordRequest(&control.ExchangeRequest{ID: "p", Have: upTo, HaveOf: "before"}, "me")
 	all, _ := l.UnackedSummaries("p", now)
 	g.Expect(all).To(gomega.HaveLen(1))
 }
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -137,7 +137,7 @@
 		// Else the records assume what another process had.
 		reply.Have = req.UpTo
 	}
-	l.Confirmed(req, n.id)
+	l.RecordRequest(req, n.id)
 	reply.Records, reply.UpTo = l.UnackedSummaries(req.ID, n.summaries())
 	reply.Known, reply.Domains = n.domainsFor(req.Known)
 	n.learnDomains(req.Domains)
