--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -165,7 +165,7 @@
 }
 
 // At returns the process last met at an address, "" if none was.
-func (l *State) At(addr string) string {
+func (l *State) ProcessAt(addr string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.process[addr]
--- a/internal/links/links_test.go
+++ b/internal/links/links_test.go
@@ -28,7 +28,7 @@
 	again, _ := l.UnackedSummaries("p", now)
 	g.Expect(again).To(gomega.HaveLen(2), "nothing was confirmed")
 	l.RecordReply("b", "addr", &control.ExchangeReply{ID: "p", Have: upTo})
-	none, _ := l.UnackedSummaries(l.At("addr"), now)
+	none, _ := l.UnackedSummaries(l.ProcessAt("addr"), now)
 	g.Expect(none).To(gomega.BeEmpty())
 
 	now[0] = summary("f/s", "1", "3")
@@ -37,7 +37,7 @@
 
 	// Another process stands at the address now.
 	l.RecordReply("b", "addr", &control.ExchangeReply{ID: "q"})
-	all, _ := l.UnackedSummaries(l.At("addr"), now)
+	all, _ := l.UnackedSummaries(l.ProcessAt("addr"), now)
 	g.Expect(all).To(gomega.HaveLen(2))
 
 	gone, _ := l.UnackedSummaries("q", now[:1])
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -107,7 +107,7 @@
 
 func (n *Node) exchange(domain, addr string, own []string) {
 	l := n.control.links
-	id := l.At(addr)
+	id := l.ProcessAt(addr)
 	req := &control.ExchangeRequest{Domain: n.opt.Domain, Control: own, Config: n.conf.Load().version, Addr: n.opt.AdvertiseControl, ID: n.id}
 	req.Records, req.UpTo = l.UnackedSummaries(id, n.summaries())
 	req.HaveOf, req.Have = id, l.HaveOf(id)
