--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -172,7 +172,7 @@
 }
 
 // HaveOf returns the newest stamp of the summaries of a process that this node has.
-func (l *State) HaveOf(id string) uint64 {
+func (l *State) ReceivedStamp(id string) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.have[id]
