--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -179,7 +179,7 @@
 }
 
 // KnownBy returns how many failure domains a process knows.
-func (l *State) KnownBy(id string) int {
+func (l *State) DomainsKnownBy(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.known[id]
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -111,7 +111,7 @@
 	req := &control.ExchangeRequest{Domain: n.opt.Domain, Control: own, Config: n.conf.Load().version, Addr: n.opt.AdvertiseControl, ID: n.id}
 	req.Records, req.UpTo = l.UnackedSummaries(id, n.summaries())
 	req.HaveOf, req.Have = id, l.ReceivedStamp(id)
-	req.Known, req.Domains = n.domainsFor(l.KnownBy(id))
+	req.Known, req.Domains = n.domainsFor(l.DomainsKnownBy(id))
 	var reply control.ExchangeReply
 	err := n.control.pool.Call(addr, "Exchange", req, &reply, linkTimeout)
 	if err != nil || reply.Domain != domain {
