--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -187,7 +187,7 @@
 
 // Begin tells whether an exchange with a domain may begin: one at a time. While one
 // is under way another follows it, as there is news for it.
-func (l *State) Begin(domain string) bool {
+func (l *State) BeginExchange(domain string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, busy := l.busy[domain]; busy {
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -65,7 +65,7 @@
 // not hold up the others, nor what the next change has to tell them.
 func (n *Node) exchangeAll(own []string) {
 	for domain, addr := range n.linkTargets() {
-		if domain != n.opt.Domain && n.control.links.Begin(domain) {
+		if domain != n.opt.Domain && n.control.links.BeginExchange(domain) {
 			go n.exchangeWhileNews(domain, addr, own)
 		}
 	}
