--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -200,7 +200,7 @@
 
 // End notes that an exchange has ended. It tells whether another is to follow, which
 // has then begun.
-func (l *State) End(domain string) (again bool) {
+func (l *State) EndExchange(domain string) (again bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.busy[domain] {
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -75,7 +75,7 @@
 // at addr.
 func (n *Node) exchangeWhileNews(domain, addr string, own []string) {
 	n.exchange(domain, addr, own)
-	for n.control.links.End(domain) {
+	for n.control.links.EndExchange(domain) {
 		n.exchange(domain, n.linkTargets()[domain], own)
 	}
 }
