--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -212,7 +212,7 @@
 }
 
 // Failed notes that an exchange with a domain failed, and returns how often in a row.
-func (l *State) Failed(domain string) int {
+func (l *State) RecordFailure(domain string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.failed[domain]++
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -142,7 +142,7 @@
 }
 
 func (n *Node) linkFailed(domain string) {
-	if n.control.links.Failed(domain) >= maxFailedInARow {
+	if n.control.links.RecordFailure(domain) >= maxFailedInARow {
 		d := n.view.Load().domains[domain]
 		n.publishLink(member.Link{Domain: domain, By: n.id, Control: dedup(d.ControlAddrs)})
 	}
