--- a/internal/links/links.go
+++ b/internal/links/links.go
@@ -1,7 +1,6 @@
-// Package links keeps what a node knows of its exchanges with other failure
-// domains: which summaries another process has confirmed, which of its own are known
-// here, and where each domain was met. It does no I/O; what changes here is sent by
-// the node.
+// Package links tracks a node's exchanges of service summaries with other failure
+// domains: the summaries that each remote process has acknowledged, those received from
+// it, and the addresses at which each domain was contacted. It performs no I/O.
 package links
 
 import (
@@ -17,55 +16,57 @@
 	"github.com/umberthread/umberthread/member"
 )
 
-// Domain is another failure domain as its linking members see it.
+// RemoteDomain is another failure domain as reported by the link members.
 type RemoteDomain struct {
-	// Reachable is false while none of the members that link to it reaches it.
+	// Reachable is false while no link member of this domain reaches it.
 	Reachable bool
-	// Control are the control addresses of its linking members.
+	// ControlAddrs are the control addresses of its link members.
 	ControlAddrs []string
 }
 
-// State is the state of the exchanges with other failure domains. It is safe for
+// State is a node's state of the exchanges with other failure domains. It is safe for
 // concurrent use.
 type State struct {
 	mu sync.Mutex
-	// own are the summaries of this domain as this node sees them.
+	// own are the summaries of this domain as this node last reported them, by key.
 	own map[string]gossip.Record
-	// acked is, per process, the newest stamp of own that it confirmed, and
-	// have the newest stamp of its summaries that this node has.
-	acked, have map[string]uint64
-	// process is the process last met at an address.
-	process map[string]string
-	// learned are addresses in other domains, by domain.
-	learned map[string]string
-	failed  map[string]int
-	// known is how many failure domains the node at an address knows.
-	known map[string]int
-	// busy are the domains with an exchange under way; true if there is news since
-	// it began.
-	busy  map[string]bool
+	// acked is, by process ID, the newest stamp of own that the process acknowledged,
+	// and received the newest stamp of its summaries that this node received.
+	acked, received map[string]uint64
+	// processAt is the ID of the process that last replied at an address.
+	processAt map[string]string
+	// lastAddr is an address in each other domain, the last contacted if any was.
+	lastAddr map[string]string
+	// failures counts consecutive failed exchanges, by domain.
+	failures map[string]int
+	// domainsKnown is the number of failure domains that a process knows, by its ID.
+	domainsKnown map[string]int
+	// inProgress holds the domains with an exchange in progress. The value is true if
+	// another exchange was requested meanwhile.
+	inProgress map[string]bool
+	// stamp is the newest stamp of own.
 	stamp uint64
 }
 
-// New returns the state of a node that has met nobody.
+// New returns the state of a node that has contacted no other domain.
 func New() *State {
 	return &State{
-		own: map[string]gossip.Record{}, acked: map[string]uint64{}, have: map[string]uint64{},
-		process: map[string]string{}, learned: map[string]string{}, failed: map[string]int{}, known: map[string]int{},
-		busy: map[string]bool{},
+		own: map[string]gossip.Record{}, acked: map[string]uint64{}, received: map[string]uint64{},
+		processAt: map[string]string{}, lastAddr: map[string]string{}, failures: map[string]int{}, domainsKnown: map[string]int{},
+		inProgress: map[string]bool{},
 	}
 }
 
-// Targets returns an address in each other domain that is known: of one of its
-// linking members, or, where it is cut off, now and then the last at which it was
-// met otherwise, as all its linking members may have been replaced meanwhile.
+// PickTargets returns an address in each known other domain: that of a random link
+// member or, if none is known, the last address. For an unreachable domain, whose link
+// members may all have been replaced, the choice includes the last address.
 func (l *State) PickTargets(domains map[string]RemoteDomain) map[string]string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := maps.Clone(l.learned)
+	out := maps.Clone(l.lastAddr)
 	for domain, d := range domains {
 		addrs := slices.Clone(d.ControlAddrs)
-		if met, ok := l.learned[domain]; ok && !d.Reachable {
+		if met, ok := l.lastAddr[domain]; ok && !d.Reachable {
 			addrs = append(addrs, met)
 		}
 		if len(addrs) > 0 {
@@ -75,26 +76,27 @@
 	return out
 }
 
-// Learn remembers an address in another failure domain that somebody told of, if
-// none is known.
+// LearnAddr records an address in another failure domain reported by a third node,
+// unless one is known.
 func (l *State) LearnAddr(domain, addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.learned[domain] == "" {
-		l.learned[domain] = addr
+	if l.lastAddr[domain] == "" {
+		l.lastAddr[domain] = addr
 	}
 }
 
-// Meet remembers the address at which another failure domain was met last.
+// RecordContact records the address at which another failure domain was last contacted.
 func (l *State) RecordContact(domain, addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.learned[domain] = addr
+	l.lastAddr[domain] = addr
 }
 
-// Unsent takes over the summaries and returns those that a process has not
-// confirmed, with the stamp up to which it then has them. A service that
-// is gone is told once, as a summary without instances.
+// UnackedSummaries replaces this domain's summaries with the given ones. It returns the
+// records that the process with the given ID has not acknowledged, and the stamp up to
+// which it is current once it has them. A service that is gone is reported by a summary
+// without instances.
 func (l *State) UnackedSummaries(id string, now []member.Summary) ([]gossip.Record, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,7 +104,7 @@
 	for _, s := range now {
 		key := member.SummaryKey(s.Domain, s.Service)
 		present[key] = true
-		l.update(key, s.Encode())
+		l.updateOwn(key, s.Encode())
 	}
 	for key, r := range l.own {
 		if present[key] {
@@ -110,7 +112,7 @@
 		}
 		if s, err := member.DecodeSummary(r.Payload); err == nil && !s.Blank() {
 			s.Instances, s.End, s.Answered = nil, nil, nil
-			l.update(key, s.Encode())
+			l.updateOwn(key, s.Encode())
 		}
 	}
 	var out []gossip.Record
@@ -122,36 +124,40 @@
 	return out, l.stamp
 }
 
-func (l *State) update(key string, payload []byte) {
+// updateOwn stores a summary of this domain under a new stamp if it changed.
+func (l *State) updateOwn(key string, payload []byte) {
 	if old, ok := l.own[key]; ok && bytes.Equal(old.Payload, payload) {
 		return
 	}
-	l.stamp = max(l.stamp+1, stampNow())
+	l.stamp = max(l.stamp+1, wallClockStamp())
 	l.own[key] = gossip.Record{Key: key, Stamp: l.stamp, Payload: payload}
 }
 
-// maxProcesses bounds the processes that are remembered.
-const maxProcesses = 1024
+// maxKnownProcesses is the number of addresses in processAt above which the state of all
+// processes is discarded.
+const maxKnownProcesses = 1024
 
-// Met takes in what a reply says of the process at an address.
+// RecordReply records the reply to an exchange with a domain from the process at an
+// address.
 func (l *State) RecordReply(domain, addr string, reply *control.ExchangeReply) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.process) > maxProcesses {
-		// Processes that are gone are forgotten; the others are told all again.
-		clear(l.process)
+	if len(l.processAt) > maxKnownProcesses {
+		// This drops terminated processes; the others are sent all summaries again.
+		clear(l.processAt)
 		clear(l.acked)
-		clear(l.have)
-		clear(l.known)
+		clear(l.received)
+		clear(l.domainsKnown)
 	}
-	l.process[addr] = reply.ID
+	l.processAt[addr] = reply.ID
 	l.acked[reply.ID] = reply.Have
-	l.have[reply.ID] = reply.UpTo
-	l.known[reply.ID] = reply.Known
-	l.failed[domain] = 0
+	l.received[reply.ID] = reply.UpTo
+	l.domainsKnown[reply.ID] = reply.Known
+	l.failures[domain] = 0
 }
 
-// Confirmed takes in what the process that asks has of own, and has given.
+// RecordRequest records the stamps in another process's exchange request. An
+// acknowledgement counts only if it refers to the process with the ID self.
 func (l *State) RecordRequest(req *control.ExchangeRequest, self string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -159,65 +165,67 @@
 	if req.HaveOf == self {
 		l.acked[req.ID] = req.Have
 	}
-	l.have[req.ID] = req.UpTo
-	l.known[req.ID] = req.Known
-	l.failed[req.Domain] = 0
+	l.received[req.ID] = req.UpTo
+	l.domainsKnown[req.ID] = req.Known
+	l.failures[req.Domain] = 0
 }
 
-// At returns the process last met at an address, "" if none was.
+// ProcessAt returns the ID of the process that last replied at an address, or "".
 func (l *State) ProcessAt(addr string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.process[addr]
+	return l.processAt[addr]
 }
 
-// HaveOf returns the newest stamp of the summaries of a process that this node has.
+// ReceivedStamp returns the newest stamp of the summaries received from a process.
 func (l *State) ReceivedStamp(id string) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.have[id]
+	return l.received[id]
 }
 
-// KnownBy returns how many failure domains a process knows.
+// DomainsKnownBy returns the number of failure domains that a process knows.
 func (l *State) DomainsKnownBy(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.known[id]
+	return l.domainsKnown[id]
 }
 
-// Begin tells whether an exchange with a domain may begin: one at a time. While one
-// is under way another follows it, as there is news for it.
+// BeginExchange reports whether an exchange with a domain may begin. If one is in
+// progress, it returns false and requests another exchange after it.
 func (l *State) BeginExchange(domain string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if _, busy := l.busy[domain]; busy {
-		l.busy[domain] = true
+	if _, busy := l.inProgress[domain]; busy {
+		l.inProgress[domain] = true
 		return false
 	}
-	l.busy[domain] = false
+	l.inProgress[domain] = false
 	return true
 }
 
-// End notes that an exchange has ended. It tells whether another is to follow, which
-// has then begun.
+// EndExchange marks an exchange with a domain as ended. If another was requested
+// meanwhile, it marks that as begun and returns true.
 func (l *State) EndExchange(domain string) (again bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.busy[domain] {
-		l.busy[domain] = false
+	if l.inProgress[domain] {
+		l.inProgress[domain] = false
 		return true
 	}
-	delete(l.busy, domain)
+	delete(l.inProgress, domain)
 	return false
 }
 
-// Failed notes that an exchange with a domain failed, and returns how often in a row.
+// RecordFailure records a failed exchange with a domain and returns the number of
+// consecutive failures.
 func (l *State) RecordFailure(domain string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.failed[domain]++
-	return l.failed[domain]
+	l.failures[domain]++
+	return l.failures[domain]
 }
 
-// stampNow begins the stamps of a process after those of the one before it.
-func stampNow() uint64 { return uint64(time.Now().UnixMilli()) }
+// wallClockStamp returns the time in Unix milliseconds, so that the stamps of a process
+// exceed those of its predecessor.
+func wallClockStamp() uint64 { return uint64(time.Now().UnixMilli()) }
--- a/internal/links/links_test.go
+++ b/internal/links/links_test.go
@@ -17,16 +17,16 @@
 	return s
 }
 
-// TestUnconfirmedSummariesAreSentAgain follows one link through a lost answer
-// and a restart of the other side at the same address.
-func TestUnconfirmedSummariesAreSentAgain(t *testing.T) {
+// TestUnackedSummariesAreResent checks that summaries are sent again after a lost reply
+// and after a restart of the remote process at the same address.
+func TestUnackedSummariesAreResent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := New()
 	now := []member.Summary{summary("f/s", "1"), summary("f/t", "2")}
 	first, upTo := l.UnackedSummaries("p", now)
 	g.Expect(first).To(gomega.HaveLen(2))
 	again, _ := l.UnackedSummaries("p", now)
-	g.Expect(again).To(gomega.HaveLen(2), "nothing was confirmed")
+	g.Expect(again).To(gomega.HaveLen(2), "no summary was acknowledged")
 	l.RecordReply("b", "addr", &control.ExchangeReply{ID: "p", Have: upTo})
 	none, _ := l.UnackedSummaries(l.ProcessAt("addr"), now)
 	g.Expect(none).To(gomega.BeEmpty())
@@ -35,7 +35,7 @@
 	changed, _ := l.UnackedSummaries("p", now)
 	g.Expect(changed).To(gomega.HaveLen(1))
 
-	// Another process stands at the address now.
+	// Another process replies at the address.
 	l.RecordReply("b", "addr", &control.ExchangeReply{ID: "q"})
 	all, _ := l.UnackedSummaries(l.ProcessAt("addr"), now)
 	g.Expect(all).To(gomega.HaveLen(2))
@@ -47,9 +47,9 @@
 	g.Expect(s.Instances).To(gomega.BeEmpty())
 }
 
-// TestAskingProcessTellsWhatItHas: what it has of another process counts for
-// nothing.
-func TestAskingProcessTellsWhatItHas(t *testing.T) {
+// TestAckIsIgnoredAfterRestart checks that an acknowledgement of an earlier process's
+// summaries does not count for this one.
+func TestAckIsIgnoredAfterRestart(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := New()
 	now := []member.Summary{summary("f/s", "1")}
@@ -62,10 +62,9 @@
 	g.Expect(all).To(gomega.HaveLen(1))
 }
 
-// TestACutOffDomainIsSoughtWhereverItWasMet: the members that linked it have all
-// been replaced during the cut. An address at which it was met otherwise is asked as
-// well, and the last such address counts.
-func TestACutOffDomainIsSoughtWhereverItWasMet(t *testing.T) {
+// TestUnreachableDomainIsContactedAtLastAddr guards against losing a domain whose link
+// members were all replaced during a partition.
+func TestUnreachableDomainIsContactedAtLastAddr(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := New()
 	l.LearnAddr("b", "told:1")
