--- a/internal/links/links_test.go
+++ b/internal/links/links_test.go
@@ -17,65 +17,64 @@
 	return s
 }
 
-// TestUnconfirmedSummariesAreSentAgain follows one link through a lost answer
-// and a restart of the other side at the same address.
-func TestUnconfirmedSummariesAreSentAgain(t *testing.T) {
+// TestUnackedSummariesAreResent checks that summaries are sent again after a lost reply
+// and after a restart of the remote process at the same address.
+func TestUnackedSummariesAreResent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := New()
 	now := []member.Summary{summary("f/s", "1"), summary("f/t", "2")}
-	first, upTo := l.Unsent("p", now)
+	first, upTo := l.UnackedSummaries("p", now)
 	g.Expect(first).To(gomega.HaveLen(2))
-	again, _ := l.Unsent("p", now)
-	g.Expect(again).To(gomega.HaveLen(2), "nothing was confirmed")
-	l.Met("b", "addr", &control.ExchangeReply{ID: "p", Have: upTo})
-	none, _ := l.Unsent(l.At("addr"), now)
+	again, _ := l.UnackedSummaries("p", now)
+	g.Expect(again).To(gomega.HaveLen(2), "no summary was acknowledged")
+	l.RecordReply("b", "addr", &control.ExchangeReply{ID: "p", Have: upTo})
+	none, _ := l.UnackedSummaries(l.ProcessAt("addr"), now)
 	g.Expect(none).To(gomega.BeEmpty())
 
 	now[0] = summary("f/s", "1", "3")
-	changed, _ := l.Unsent("p", now)
+	changed, _ := l.UnackedSummaries("p", now)
 	g.Expect(changed).To(gomega.HaveLen(1))
 
-	// Another process stands at the address now.
-	l.Met("b", "addr", &control.ExchangeReply{ID: "q"})
-	all, _ := l.Unsent(l.At("addr"), now)
+	// Another process replies at the address.
+	l.RecordReply("b", "addr", &control.ExchangeReply{ID: "q"})
+	all, _ := l.UnackedSummaries(l.ProcessAt("addr"), now)
 	g.Expect(all).To(gomega.HaveLen(2))
 
-	gone, _ := l.Unsent("q", now[:1])
+	gone, _ := l.UnackedSummaries("q", now[:1])
 	g.Expect(gone).To(gomega.HaveLen(2))
 	s, err := member.DecodeSummary(l.own[member.SummaryKey("a", "f/t")].Payload)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(s.Instances).To(gomega.BeEmpty())
 }
 
-// TestAskingProcessTellsWhatItHas: what it has of another process counts for
-// nothing.
-func TestAskingProcessTellsWhatItHas(t *testing.T) {
+// TestAckIsIgnoredAfterRestart checks that an acknowledgement of an earlier process's
+// summaries does not count for this one.
+func TestAckIsIgnoredAfterRestart(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := New()
 	now := []member.Summary{summary("f/s", "1")}
-	_, upTo := l.Unsent("p", now)
-	l.Confirmed(&control.ExchangeRequest{ID: "p", Have: upTo, HaveOf: "me"}, "me")
-	none, _ := l.Unsent("p", now)
+	_, upTo := l.UnackedSummaries("p", now)
+	l.RecordRequest(&control.ExchangeRequest{ID: "p", Have: upTo, HaveOf: "me"}, "me")
+	none, _ := l.UnackedSummaries("p", now)
 	g.Expect(none).To(gomega.BeEmpty())
-	l.Confirmed(&control.ExchangeRequest{ID: "p", Have: upTo, HaveOf: "before"}, "me")
-	all, _ := l.Unsent("p", now)
+	l.RecordRequest(&control.ExchangeRequest{ID: "p", Have: upTo, HaveOf: "before"}, "me")
+	all, _ := l.UnackedSummaries("p", now)
 	g.Expect(all).To(gomega.HaveLen(1))
 }
 
-// TestACutOffDomainIsSoughtWhereverItWasMet: the members that linked it have all
-// been replaced during the cut. An address at which it was met otherwise is asked as
-// well, and the last such address counts.
-func TestACutOffDomainIsSoughtWhereverItWasMet(t *testing.T) {
+// TestUnreachableDomainIsContactedAtLastAddr guards against losing a domain whose link
+// members were all replaced during a partition.
+func TestUnreachableDomainIsContactedAtLastAddr(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := New()
-	l.Learn("b", "told:1")
-	l.Meet("b", "met:1")
-	l.Learn("b", "told:2")
+	l.LearnAddr("b", "told:1")
+	l.RecordContact("b", "met:1")
+	l.LearnAddr("b", "told:2")
 	for _, reachable := range []bool{true, false} {
-		domains := map[string]Domain{"b": {Reachable: reachable, Control: []string{"gone:1"}}}
+		domains := map[string]RemoteDomain{"b": {Reachable: reachable, ControlAddrs: []string{"gone:1"}}}
 		asked := map[string]bool{}
 		for range 200 {
-			asked[l.Targets(domains)["b"]] = true
+			asked[l.PickTargets(domains)["b"]] = true
 		}
 		g.Expect(asked).To(gomega.HaveKey("gone:1"))
 		g.Expect(asked["met:1"]).To(gomega.Equal(!reachable))
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -113,12 +113,12 @@
 	reply.Held = n.quarantine.activeQuarantines()
 	n.gossip.observeVersion(viaSync, req.Addr, req.Config)
 	if req.Domain != n.opt.Domain {
-		reply.Seeds = n.control.contacts.recordAndList(req.Domain, req.Addr, n.view.Load().domains[req.Domain].Control)
+		reply.Seeds = n.control.contacts.recordAndList(req.Domain, req.Addr, n.view.Load().domains[req.Domain].ControlAddrs)
 		return nil
 	}
 	n.gossip.runOnCore(func() {
-		n.gossip.core.Merge(n.clock(), req.Records)
-		reply.Records = n.gossip.core.Differing(req.Digest)
+		n.gossip.core.MergeRecords(n.clock(), req.Records)
+		reply.Records = n.gossip.core.DifferingRecords(req.Digest)
 		reply.Digest = n.gossip.core.Digest()
 	})
 	return nil
@@ -144,8 +144,8 @@
 		// Otherwise the records are relative to what another process had.
 		reply.Have = req.UpTo
 	}
-	l.Confirmed(req, n.id)
-	reply.Records, reply.UpTo = l.Unsent(req.ID, n.serviceSummaries())
+	l.RecordRequest(req, n.id)
+	reply.Records, reply.UpTo = l.UnackedSummaries(req.ID, n.serviceSummaries())
 	reply.Known, reply.Domains = n.domainsFor(req.Known)
 	n.learnDomains(req.Domains)
 	n.mergeExchange(req.Domain, req.Control, req.Records)
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -73,14 +73,14 @@
 	highestVersion atomic.Uint64
 	// finder selects the nodes to compare records with. It is guarded by mu.
 	mu     sync.Mutex
-	finder *discovery.Core
+	finder *discovery.Scheduler
 }
 
 func newGossiper(n *Node) *gossiper {
 	self := gossip.Member{ID: n.id, Addr: n.opt.AdvertiseControl}
 	core := gossip.New(self, gossip.Options{
-		Period: gossipPeriod, AckTimeout: ackTimeout, Suspicion: suspicionTimeout, Forget: forgetAfter,
-		Indirect: indirectProbes, PacketBytes: maxPacketBytes, Urgent: member.IsTerminationSummary, Rand: newRand(),
+		ProbeInterval: gossipPeriod, AckTimeout: ackTimeout, SuspicionTimeout: suspicionTimeout, DepartedRetention: forgetAfter,
+		IndirectProbes: indirectProbes, MaxPiggybackBytes: maxPacketBytes, IsUrgent: member.IsTerminationSummary, Rand: newRand(),
 	})
 	return &gossiper{
 		node: n, core: core, views: newViewBuilder(n), packets: ring.New[datagram](packetQueueSize), configHints: ring.New[configHint](configHintQueueSize),
@@ -106,7 +106,7 @@
 		case <-g.node.stop:
 			return
 		case d := <-g.packets.C():
-			g.core.Receive(g.node.clock(), d.addr, d.packet)
+			g.core.HandlePacket(g.node.clock(), d.addr, d.packet)
 		case f := <-g.commands:
 			f()
 		case <-t.C:
@@ -119,7 +119,7 @@
 // handleOutput sends the core's packets, applies its events and publishes the
 // routing table if it is due.
 func (g *gossiper) handleOutput() {
-	outs, events := g.core.Take()
+	outs, events := g.core.TakeOutput()
 	for _, o := range outs {
 		g.sendPacket(o)
 	}
@@ -146,7 +146,7 @@
 }
 
 // sendPacket sends a packet with this node's version of the settings attached.
-func (g *gossiper) sendPacket(o gossip.Out) {
+func (g *gossiper) sendPacket(o gossip.OutgoingPacket) {
 	o.Packet.Config = g.node.conf.Load().version
 	b := gossip.EncodePacket(o.Packet)
 	addr, err := net.ResolveUDPAddr("udp", o.Addr)
@@ -262,7 +262,7 @@
 func (g *gossiper) metaChanged() {
 	g.postToCore(func() {
 		g.core.SetMeta(g.node.meta().Encode())
-		g.core.Nudge(nudgeFanout)
+		g.core.PingRandom(nudgeFanout)
 		g.routesStale = true
 	})
 }
@@ -270,7 +270,7 @@
 // configChanged tells other nodes and failure domains of a newly active version.
 func (g *gossiper) configChanged(version uint64) {
 	g.raiseHighestVersion(version)
-	go g.postToCore(func() { g.core.Nudge(nudgeFanout) })
+	go g.postToCore(func() { g.core.PingRandom(nudgeFanout) })
 	g.wakeLinks()
 }
 
@@ -286,7 +286,7 @@
 func (g *gossiper) leave() {
 	g.runOnCore(func() {
 		g.core.Leave()
-		g.core.Nudge(2 * nudgeFanout)
+		g.core.PingRandom(2 * nudgeFanout)
 		g.routesStale = true
 	})
 	g.wakeLinks()
@@ -322,8 +322,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.finder.SetBootstrap(g.node.bootstrap())
-	targets := g.finder.Due(g.node.clock())
-	return targets, max(0, g.finder.Next()-g.node.clock())
+	targets := g.finder.DueTargets(g.node.clock())
+	return targets, max(0, g.finder.NextDue()-g.node.clock())
 }
 
 // syncAndRecord compares records with a node and tells the finder the result.
@@ -334,38 +334,38 @@
 	if err != nil {
 		// Not logged: most probed addresses do not answer. Their number is in the
 		// node's status.
-		g.finder.Failed(t.Addr)
+		g.finder.RecordFailure(t.Addr)
 		return
 	}
-	g.finder.Answered(t.Addr, answer)
+	g.finder.RecordReply(t.Addr, answer)
 	g.joined.Store(g.finder.Joined())
 }
 
 // syncWith compares records with the node at an address. A node of another failure
 // domain answers only with its domain and the nodes of this domain that it knows.
-func (g *gossiper) syncWith(t discovery.Target) (discovery.Answer, error) {
+func (g *gossiper) syncWith(t discovery.Target) (discovery.PeerInfo, error) {
 	var digest gossip.Digest
 	if !g.runOnCore(func() { digest = g.core.Digest() }) {
-		return discovery.Answer{}, fault.New(fault.Draining, "this node is stopping")
+		return discovery.PeerInfo{}, fault.New(fault.Draining, "this node is stopping")
 	}
 	req := &control.SyncRequest{Addr: g.node.opt.AdvertiseControl, Domain: g.node.opt.Domain, Digest: digest, Config: g.node.conf.Load().version}
 	var reply control.SyncReply
 	if err := g.node.control.pool.Call(t.Addr, "Sync", req, &reply, t.Timeout); err != nil {
-		return discovery.Answer{}, err
+		return discovery.PeerInfo{}, err
 	}
-	answer := discovery.Answer{Domain: reply.Domain, Seeds: reply.Seeds}
+	answer := discovery.PeerInfo{Domain: reply.Domain, Seeds: reply.Seeds}
 	g.observeVersion(viaSync, t.Addr, reply.Config)
 	if g.recentlyStarted() {
 		g.node.quarantine.adoptQuarantines(reply.Held)
 	}
 	if reply.Domain != g.node.opt.Domain {
-		g.node.control.links.Meet(reply.Domain, t.Addr)
+		g.node.control.links.RecordContact(reply.Domain, t.Addr)
 		return answer, nil
 	}
 	var mine []gossip.Record
 	g.runOnCore(func() {
-		g.core.Merge(g.node.clock(), reply.Records)
-		mine = g.core.Differing(reply.Digest)
+		g.core.MergeRecords(g.node.clock(), reply.Records)
+		mine = g.core.DifferingRecords(reply.Digest)
 	})
 	if len(mine) == 0 {
 		return answer, nil
@@ -389,9 +389,9 @@
 		}
 	}
 	g.mu.Lock()
-	before := g.finder.Next()
-	g.finder.See(g.node.clock(), seen)
-	sooner := g.finder.Next() < before
+	before := g.finder.NextDue()
+	g.finder.UpdateView(g.node.clock(), seen)
+	sooner := g.finder.NextDue() < before
 	g.mu.Unlock()
 	if !sooner {
 		return
@@ -406,12 +406,12 @@
 func (g *gossiper) lostAddresses() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.finder.Lost()
+	return g.finder.LostAddrCount()
 }
 
 // recentlyStarted reports whether the node has just started and is still finding
 // other nodes.
-func (g *gossiper) recentlyStarted() bool { return discovery.Young(g.node.clock()) }
+func (g *gossiper) recentlyStarted() bool { return discovery.InStartup(g.node.clock()) }
 
 // meta returns the metadata that this node publishes about itself.
 func (n *Node) meta() *member.Meta {
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -66,7 +66,7 @@
 // unreachable domain delays neither the others nor the next round.
 func (n *Node) exchangeWithAll(own []string) {
 	for domain, addr := range n.domainAddrs() {
-		if domain != n.opt.Domain && n.control.links.Begin(domain) {
+		if domain != n.opt.Domain && n.control.links.BeginExchange(domain) {
 			go n.exchangeUntilCurrent(domain, addr, own)
 		}
 	}
@@ -76,14 +76,14 @@
 // exchange has been requested meanwhile.
 func (n *Node) exchangeUntilCurrent(domain, addr string, own []string) {
 	n.exchangeWith(domain, addr, own)
-	for n.control.links.End(domain) {
+	for n.control.links.EndExchange(domain) {
 		n.exchangeWith(domain, n.domainAddrs()[domain], own)
 	}
 }
 
 // domainAddrs returns one control address for each known domain, its own included.
 func (n *Node) domainAddrs() map[string]string {
-	out := n.control.links.Targets(n.view.Load().domains)
+	out := n.control.links.PickTargets(n.view.Load().domains)
 	out[n.opt.Domain] = n.opt.AdvertiseControl
 	return out
 }
@@ -102,7 +102,7 @@
 func (n *Node) learnDomains(domains map[string]string) {
 	for domain, addr := range domains {
 		if domain != n.opt.Domain {
-			n.control.links.Learn(domain, addr)
+			n.control.links.LearnAddr(domain, addr)
 		}
 	}
 }
@@ -111,18 +111,18 @@
 // own are the control addresses of this domain's link members.
 func (n *Node) exchangeWith(domain, addr string, own []string) {
 	l := n.control.links
-	id := l.At(addr)
+	id := l.ProcessAt(addr)
 	req := &control.ExchangeRequest{Domain: n.opt.Domain, Control: own, Config: n.conf.Load().version, Addr: n.opt.AdvertiseControl, ID: n.id}
-	req.Records, req.UpTo = l.Unsent(id, n.serviceSummaries())
-	req.HaveOf, req.Have = id, l.HaveOf(id)
-	req.Known, req.Domains = n.domainsFor(l.KnownBy(id))
+	req.Records, req.UpTo = l.UnackedSummaries(id, n.serviceSummaries())
+	req.HaveOf, req.Have = id, l.ReceivedStamp(id)
+	req.Known, req.Domains = n.domainsFor(l.DomainsKnownBy(id))
 	var reply control.ExchangeReply
 	err := n.control.pool.Call(addr, "Exchange", req, &reply, linkTimeout)
 	if err != nil || reply.Domain != domain {
 		n.recordLinkFailure(domain)
 		return
 	}
-	l.Met(domain, addr, &reply)
+	l.RecordReply(domain, addr, &reply)
 	n.learnDomains(reply.Domains)
 	n.mergeExchange(domain, reply.Control, reply.Records)
 	n.gossip.observeVersion(viaExchange, addr, reply.Config)
@@ -140,7 +140,7 @@
 			if n.gossip.core.Publish(r) && member.IsTerminationSummary(r.Key) {
 				// A request that crashes backend servers must be known everywhere
 				// before the next probe.
-				n.gossip.core.Nudge(nudgeFanout)
+				n.gossip.core.PingRandom(nudgeFanout)
 			}
 		}
 	})
@@ -150,9 +150,9 @@
 // recordLinkFailure counts a failed exchange and reports the domain as unreachable
 // after maxLinkFailures in a row.
 func (n *Node) recordLinkFailure(domain string) {
-	if n.control.links.Failed(domain) >= maxLinkFailures {
+	if n.control.links.RecordFailure(domain) >= maxLinkFailures {
 		d := n.view.Load().domains[domain]
-		n.publishLink(member.Link{Domain: domain, By: n.id, Control: sortedUnique(d.Control)})
+		n.publishLink(member.Link{Domain: domain, By: n.id, Control: sortedUnique(d.ControlAddrs)})
 	}
 }
 
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -19,7 +19,7 @@
 // immutable and replaced as a whole.
 type membershipView struct {
 	members  []memberView
-	domains  map[string]links.Domain
+	domains  map[string]links.RemoteDomain
 	replicas []raft.Peer
 }
 
@@ -39,7 +39,7 @@
 	members   map[string]*memberView
 	summaries map[string]member.Summary
 	links     map[string]member.Link
-	domains   map[string]links.Domain
+	domains   map[string]links.RemoteDomain
 	instances map[string]*instanceState
 }
 
@@ -56,7 +56,7 @@
 func newViewBuilder(n *Node) *viewBuilder {
 	return &viewBuilder{
 		node: n, members: map[string]*memberView{}, summaries: map[string]member.Summary{}, links: map[string]member.Link{},
-		domains: map[string]links.Domain{}, instances: map[string]*instanceState{},
+		domains: map[string]links.RemoteDomain{}, instances: map[string]*instanceState{},
 	}
 }
 
@@ -103,7 +103,7 @@
 // refreshDomains recomputes which failure domains are reachable: those that at least
 // one known link member reaches. It logs changes.
 func (b *viewBuilder) refreshDomains() {
-	next := map[string]links.Domain{}
+	next := map[string]links.RemoteDomain{}
 	for key, l := range b.links {
 		if l.By != b.node.id && b.members[l.By] == nil {
 			delete(b.links, key)
@@ -111,7 +111,7 @@
 		}
 		d := next[l.Domain]
 		d.Reachable = d.Reachable || l.Reachable
-		d.Control = append(d.Control, l.Control...)
+		d.ControlAddrs = append(d.ControlAddrs, l.Control...)
 		next[l.Domain] = d
 	}
 	for name, d := range next {
--- a/internal/study/domain.go
+++ b/internal/study/domain.go
@@ -69,7 +69,7 @@
 		}
 	}
 	for _, addr := range d.addrs {
-		d.nodes[addr].core.Merge(0, all)
+		d.nodes[addr].core.MergeRecords(0, all)
 	}
 	return d
 }
@@ -79,8 +79,8 @@
 	d.starts++
 	n := &node{id: fmt.Sprintf("%016x", d.starts), addr: addr, dead: map[string]bool{}}
 	n.core = gossip.New(gossip.Member{ID: n.id, Addr: addr, Meta: make([]byte, metaSize)}, gossip.Options{
-		Period: period, AckTimeout: ackTimeout, Suspicion: suspicion, Forget: forget,
-		Indirect: indirect, PacketBytes: packetSize, Rand: d.rng,
+		ProbeInterval: period, AckTimeout: ackTimeout, SuspicionTimeout: suspicion, DepartedRetention: forget,
+		IndirectProbes: indirect, MaxPiggybackBytes: packetSize, Rand: d.rng,
 	})
 	d.nodes[addr] = n
 	return n
@@ -125,7 +125,7 @@
 
 // work sends what a core wants sent and takes in its events.
 func (d *domain) work(n *node) {
-	outs, events := n.core.Take()
+	outs, events := n.core.TakeOutput()
 	for _, o := range outs {
 		o.Packet.Config = n.version
 		d.bytes += len(gossip.EncodePacket(o.Packet))
@@ -165,7 +165,7 @@
 	if n == nil {
 		return
 	}
-	n.core.Receive(d.now, from, p)
+	n.core.HandlePacket(d.now, from, p)
 	if p.Config > n.version {
 		d.fetch(n, from)
 	}
@@ -188,7 +188,7 @@
 
 func (d *domain) force(n *node, version uint64) {
 	n.version = version
-	n.core.Nudge(nudges)
+	n.core.PingRandom(nudges)
 	d.work(n)
 }
 
@@ -199,9 +199,9 @@
 		return
 	}
 	mine, theirs := n.core.Digest(), q.core.Digest()
-	give, take := n.core.Differing(theirs), q.core.Differing(mine)
-	n.core.Merge(d.now, sorted(take))
-	q.core.Merge(d.now, sorted(give))
+	give, take := n.core.DifferingRecords(theirs), q.core.DifferingRecords(mine)
+	n.core.MergeRecords(d.now, sorted(take))
+	q.core.MergeRecords(d.now, sorted(give))
 	d.work(n)
 	d.work(q)
 }
