--- a/cmd/umberbench/commit.go
+++ b/cmd/umberbench/commit.go
@@ -16,7 +16,9 @@
 	"github.com/umberthread/umberthread/settings"
 )
 
-const commitTree = `
+// commitSettings declares the request kinds of commitKinds; lodge requires an
+// idempotency key.
+const commitSettings = `
 [fleet.suva.service.claims-hub.kind.lodge]
 class = "protected"
 key_required = true
@@ -24,32 +26,36 @@
 idempotent = true
 `
 
+// commitKinds is an even mix of keyed and unkeyed requests.
 var commitKinds = []load.Kind{
 	{Target: "suva/claims-hub/lodge", Share: 0.5, Deadline: 5 * time.Second, Body: 200, Keyed: true},
 	{Target: "suva/claims-hub/status", Share: 0.5, Deadline: 5 * time.Second, Body: 200},
 }
 
+// commitOptions are the flags of the commit command.
 type commitOptions struct {
-	changes int
-	rate    float64
-	span    time.Duration
+	changeCount int
+	rate        float64
+	runDuration time.Duration
 }
 
-// quantileOf returns a quantile of sorted durations.
-func quantileOf(sorted []time.Duration, q float64) time.Duration {
+// quantile returns the q-quantile of durations sorted in ascending order, or 0
+// if there are none.
+func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
 	}
 	return sorted[min(len(sorted)-1, int(math.Ceil(q*float64(len(sorted)))))]
 }
 
-// runCommit measures settings changes and keyed requests with real syncs, on
-// three replicas in three failure domains.
+// runCommit measures the latency of settings changes and of keyed requests on
+// three replicas in three failure domains, with real disk syncs.
 func runCommit(bin string, o commitOptions) error {
-	return withFleet(bin, func(f *harness.Fleet) error { return commit(f, o) })
+	return withFleet(bin, func(f *harness.Fleet) error { return measureCommit(f, o) })
 }
 
-func commit(f *harness.Fleet, o commitOptions) error {
+// measureCommit runs the measurement on an empty fleet and prints the results.
+func measureCommit(f *harness.Fleet, o commitOptions) error {
 	for _, d := range kigaliDomains[:3] {
 		n, err := f.StartNode(harness.NodeSpec{Domain: d, Disk: true, Extra: []string{"replicas = 3", "shards = 4"}})
 		if err != nil {
@@ -62,23 +68,23 @@
 	if err := f.Form(f.Nodes[0]); err != nil {
 		return err
 	}
-	if err := awaitReplicas(f, 3); err != nil {
+	if err := awaitVoters(f, 3); err != nil {
 		return err
 	}
-	version, err := f.Configure(f.Nodes[0], commitTree, nil)
+	version, err := f.Configure(f.Nodes[0], commitSettings, nil)
 	if err != nil {
 		return err
 	}
-	times, err := changeLatencies(f, version, o.changes)
+	times, err := changeLatencies(f, version, o.changeCount)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("changes, one at a time: n=%d p50=%s p99=%s\n", len(times), quantileOf(times, 0.5), quantileOf(times, 0.99))
-	if err := awaitServed(f, commitKinds); err != nil {
+	fmt.Printf("changes, one at a time: n=%d p50=%s p99=%s\n", len(times), quantile(times, 0.5), quantile(times, 0.99))
+	if err := awaitKindsServed(f, commitKinds); err != nil {
 		return err
 	}
 	for _, rate := range []float64{o.rate / 8, o.rate} {
-		r := load.Run(load.Options{Entries: f.Entries(), Kinds: commitKinds, Phases: []load.Phase{{Rate: rate, For: o.span}}})
+		r := load.Run(load.Options{Entries: f.Entries(), Kinds: commitKinds, Phases: []load.Phase{{Rate: rate, For: o.runDuration}}})
 		served := 0
 		for _, out := range r.Outcomes {
 			if out.OK {
@@ -86,13 +92,15 @@
 			}
 		}
 		for i, k := range commitKinds {
-			h := r.Latency(i, 0, o.span)
+			h := r.Latency(i, 0, o.runDuration)
 			fmt.Printf("rate=%g %s served=%d of=%d p50=%dus p99=%dus\n", rate, k.Target, served, len(r.Outcomes), h.ValueAtQuantile(50), h.ValueAtQuantile(99))
 		}
 	}
 	return nil
 }
 
+// changeLatencies makes n settings changes one after another, based on the
+// given version, and returns their latencies in ascending order.
 func changeLatencies(f *harness.Fleet, version uint64, n int) ([]time.Duration, error) {
 	c := ctl.NewClient(f.Nodes[0].Admin)
 	var out []time.Duration
--- a/cmd/umberbench/demo.go
+++ b/cmd/umberbench/demo.go
@@ -12,16 +12,18 @@
 	"github.com/umberthread/umberthread/internal/load"
 )
 
-const kigaliTree = "examples/kigali.toml"
+// kigaliSettingsFile is relative to the root of the repository.
+const kigaliSettingsFile = "examples/kigali.toml"
 
 // demoServices are the Kigali services with a twentieth of their slots.
-var demoServices = []serviceShape{
+var demoServices = []serviceSpec{
 	{"kigali/sheets", 15, 95, []string{"open=4ms:kigali/locations/find,kigali/rosters/day@4096", "preview=4ms:kigali/rosters/day"}},
 	{"kigali/bookings", 15, 95, []string{"confirm=4ms:kigali/rosters/day", "list=2ms"}},
 	{"kigali/locations", 15, 95, []string{"upload=5ms", "find=2ms:kigali/rosters/day"}},
 	{"kigali/rosters", 8, 40, []string{"day=3ms", "catering=3ms", "transport=3ms"}},
 }
 
+// demoKinds is the request mix of the demonstration.
 var demoKinds = []load.Kind{
 	{Target: "kigali/sheets/open", Share: 0.25, Deadline: 10 * time.Second},
 	{Target: "kigali/sheets/preview", Share: 0.15, Deadline: 2 * time.Second},
@@ -34,20 +36,22 @@
 	{Target: "kigali/rosters/transport", Share: 0.05, Deadline: 5 * time.Second},
 }
 
+// runDemo starts the demonstration fleet, sends requests of every kind and fails
+// if any is not served.
 func runDemo(bin string) error {
-	tree, err := os.ReadFile(kigaliTree)
+	tree, err := os.ReadFile(kigaliSettingsFile)
 	if err != nil {
-		return fault.Wrap(fault.NotFound, err, "run this from the folder of the repository")
+		return fault.Wrap(fault.NotFound, err, "run this command from the root of the repository")
 	}
 	fmt.Println("Starting 8 nodes and 8 stand-in backend servers in 4 failure domains.")
 	var r *load.Result
 	served := 0
 	err = withFleet(bin, func(f *harness.Fleet) error {
-		if err := startDemo(f, string(tree)); err != nil {
+		if err := startDemoFleet(f, string(tree)); err != nil {
 			return err
 		}
 		fmt.Println("The settings are in force on all nodes. Sending requests.")
-		if err := awaitServed(f, demoKinds); err != nil {
+		if err := awaitKindsServed(f, demoKinds); err != nil {
 			return err
 		}
 		r = load.Run(load.Options{Entries: f.Entries(), Kinds: demoKinds, Phases: []load.Phase{{Rate: 60, For: 6 * time.Second}}})
@@ -65,9 +69,9 @@
 	return nil
 }
 
-// startDemo starts two instances of each service, each in two of the four
-// failure domains, with the settings of Kigali.
-func startDemo(f *harness.Fleet, tree string) error {
+// startDemoFleet starts two instances of each service, each in two of the four
+// failure domains, and applies the Kigali settings.
+func startDemoFleet(f *harness.Fleet, tree string) error {
 	if err := startFleet(f, kigaliDomains, demoServices, func(d, s int) bool { return (d+s)%2 == 0 }); err != nil {
 		return err
 	}
@@ -75,8 +79,8 @@
 	return err
 }
 
-// awaitServed waits until each kind is served at every node.
-func awaitServed(f *harness.Fleet, kinds []load.Kind) error {
+// awaitKindsServed waits until every node serves a request of each kind.
+func awaitKindsServed(f *harness.Fleet, kinds []load.Kind) error {
 	return harness.Await(20*time.Second, func() error {
 		for _, k := range kinds {
 			k.Share = 1
@@ -93,7 +97,8 @@
 	})
 }
 
-// printOutcomes prints a table by kind and returns how many were served.
+// printOutcomes prints a table by request kind and returns the number of
+// requests served.
 func printOutcomes(r *load.Result) int {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "KIND\tSENT\tSERVED\tP50\tP99\tFAILED")
@@ -116,13 +121,15 @@
 		h := r.Latency(i, 0, time.Hour)
 		p50 := time.Duration(h.ValueAtQuantile(50)) * time.Microsecond
 		p99 := time.Duration(h.ValueAtQuantile(99)) * time.Microsecond
-		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\t%s\n", k.Target, sent, served, p50, p99, reasonText(reasons))
+		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\t%s\n", k.Target, sent, served, p50, p99, formatReasonCounts(reasons))
 	}
 	_ = w.Flush()
 	return total
 }
 
-func reasonText(reasons map[string]int) string {
+// formatReasonCounts lists failure reasons with their counts, sorted by reason,
+// or returns "-" if there are none.
+func formatReasonCounts(reasons map[string]int) string {
 	names := make([]string, 0, len(reasons))
 	for r := range reasons {
 		names = append(names, r)
--- a/cmd/umberbench/fleet.go
+++ b/cmd/umberbench/fleet.go
@@ -13,15 +13,17 @@
 // kigaliDomains are the failure domains of the Kigali fleet.
 var kigaliDomains = []string{"nyarugenge", "kicukiro", "gasabo", "remera"}
 
-// serviceShape is one service of a fleet in small.
-type serviceShape struct {
+// serviceSpec describes the stand-in backend servers of one service: the slots
+// and connections of each, and its request kinds in the syntax of standin.ParseKind.
+type serviceSpec struct {
 	name  string
 	slots int
 	conns int
 	kinds []string
 }
 
-// withFleet runs do on an empty fleet and stops its processes afterwards.
+// withFleet runs do on an empty fleet and stops the fleet's processes when do
+// returns or the command is interrupted.
 func withFleet(bin string, do func(f *harness.Fleet) error) (err error) {
 	f, err := harness.New(bin)
 	if err != nil {
@@ -34,7 +36,7 @@
 	}()
 	done := make(chan error, 1)
 	go func() { done <- do(f) }()
-	// An interrupt must not leave processes behind.
+	// Stop the processes on an interrupt too.
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGINT, syscall.SIGTERM)
 	defer signal.Stop(stop)
@@ -46,14 +48,15 @@
 	}
 }
 
-// startFleet starts one node and stand-in of each service in each domain given
-// by place, with a replica in each of the first three domains, and waits until
-// every node can route to every service.
-func startFleet(f *harness.Fleet, domains []string, services []serviceShape, place func(domain, service int) bool) error {
+// startFleet starts a node with a stand-in backend server for each pair of failure
+// domain and service that hasNode selects. One node in each of the first three
+// domains holds a replica. startFleet returns once every replica group has three
+// voters.
+func startFleet(f *harness.Fleet, domains []string, services []serviceSpec, hasNode func(domain, service int) bool) error {
 	for d, domain := range domains {
 		disk := d < 3
 		for i := range services {
-			if !place(d, i) {
+			if !hasNode(d, i) {
 				continue
 			}
 			n, err := f.StartNode(harness.NodeSpec{Domain: domain, Disk: disk, Extra: []string{"replicas = 3", "shards = 2"}})
@@ -70,10 +73,11 @@
 	if err := f.Form(f.Nodes[0]); err != nil {
 		return err
 	}
-	return awaitReplicas(f, 3)
+	return awaitVoters(f, 3)
 }
 
-func awaitReplicas(f *harness.Fleet, n int) error {
+// awaitVoters waits until every replica group has n voters.
+func awaitVoters(f *harness.Fleet, n int) error {
 	return harness.Await(30*time.Second, func() error {
 		s, err := f.Nodes[0].Status()
 		if err != nil {
--- a/cmd/umberbench/hold.go
+++ b/cmd/umberbench/hold.go
@@ -9,18 +9,18 @@
 	"github.com/umberthread/umberthread/internal/harness"
 )
 
-// runHold starts the fleet of the demonstration, prints where it listens and
-// keeps it until it is interrupted.
+// runHold starts the demonstration fleet, prints its addresses and keeps it
+// running until interrupted.
 func runHold(bin string) error {
-	tree, err := os.ReadFile(kigaliTree)
+	tree, err := os.ReadFile(kigaliSettingsFile)
 	if err != nil {
-		return fault.Wrap(fault.NotFound, err, "run this from the folder of the repository")
+		return fault.Wrap(fault.NotFound, err, "run this command from the root of the repository")
 	}
 	err = withFleet(bin, func(f *harness.Fleet) error {
-		if err := startDemo(f, string(tree)); err != nil {
+		if err := startDemoFleet(f, string(tree)); err != nil {
 			return err
 		}
-		printFleet(f)
+		printAddresses(f)
 		select {}
 	})
 	if fault.CodeOf(err) == fault.Canceled {
@@ -29,17 +29,19 @@
 	return err
 }
 
-func printFleet(f *harness.Fleet) {
+// printAddresses prints the addresses and process ids of the fleet, and an
+// umberctl command that covers every failure domain.
+func printAddresses(f *harness.Fleet) {
 	seen := map[string]bool{}
-	var first []string
+	var firstOfDomain []string
 	for i, n := range f.Nodes {
 		fmt.Printf("%-14s pid %d  http %s  admin %s  beside %s pid %d at %s\n",
 			n.Name, n.PID(), n.HTTP, n.Admin, f.Servers[i].Service, f.Servers[i].PID(), f.Servers[i].Addr)
 		if !seen[n.Domain] {
 			seen[n.Domain] = true
-			first = append(first, "-n "+n.Admin)
+			firstOfDomain = append(firstOfDomain, "-n "+n.Admin)
 		}
 	}
 	fmt.Println("folder " + f.Dir)
-	fmt.Println("try: bin/umberctl " + strings.Join(first, " ") + " status")
+	fmt.Println("try: bin/umberctl " + strings.Join(firstOfDomain, " ") + " status")
 }
--- a/cmd/umberbench/hop.go
+++ b/cmd/umberbench/hop.go
@@ -10,52 +10,56 @@
 	"github.com/umberthread/umberthread/settings"
 )
 
+// hopOptions are the flags of the hop command.
 type hopOptions struct {
-	rate   float64
-	span   time.Duration
-	rounds int
+	rate        float64
+	runDuration time.Duration
+	rounds      int
 }
 
-const hopTree = `
+// hopSettings declares the request kind that is measured.
+const hopSettings = `
 [fleet.kigali.service.rosters.kind.echo]
 idempotent = true
 `
 
-// runHop measures calls of a stand-in that answers at once, directly and
-// through two nodes, in turn.
+// runHop compares the latency of calls sent directly to a stand-in backend server
+// with that of calls through two nodes.
 func runHop(bin string, o hopOptions) error {
-	return withFleet(bin, func(f *harness.Fleet) error { return hop(f, o) })
+	return withFleet(bin, func(f *harness.Fleet) error { return measureHop(f, o) })
 }
 
-func hop(f *harness.Fleet, o hopOptions) error {
+// measureHop runs the measurement on an empty fleet, alternating direct and
+// routed calls, and prints the results.
+func measureHop(f *harness.Fleet, o hopOptions) error {
 	entry, err := f.StartNode(harness.NodeSpec{Domain: "nyarugenge", Disk: true, Extra: []string{"replicas = 1"}})
 	if err != nil {
 		return err
 	}
-	beside, err := f.StartNode(harness.NodeSpec{Domain: "nyarugenge"})
+	serverNode, err := f.StartNode(harness.NodeSpec{Domain: "nyarugenge"})
 	if err != nil {
 		return err
 	}
-	server, err := f.StartServer(beside, harness.ServerSpec{Service: "kigali/rosters", Slots: 256, Connections: 1024, Kinds: []string{"echo=0s@1024"}})
+	server, err := f.StartServer(serverNode, harness.ServerSpec{Service: "kigali/rosters", Slots: 256, Connections: 1024, Kinds: []string{"echo=0s@1024"}})
 	if err != nil {
 		return err
 	}
 	if err := f.Form(entry); err != nil {
 		return err
 	}
-	if _, err := f.Configure(entry, hopTree, settings.Entries{}); err != nil {
+	if _, err := f.Configure(entry, hopSettings, settings.Entries{}); err != nil {
 		return err
 	}
 	kinds := []load.Kind{{Target: "kigali/rosters/echo", Share: 1, Deadline: 2 * time.Second, Body: 500}}
-	if err := awaitServed(f, kinds); err != nil {
+	if err := awaitKindsServed(f, kinds); err != nil {
 		return err
 	}
 	for range o.rounds {
-		direct, err := hopRun(o, kinds, server.Addr, true)
+		direct, err := measureLatency(o, kinds, server.Addr, true)
 		if err != nil {
 			return err
 		}
-		through, err := hopRun(o, kinds, entry.HTTP, false)
+		through, err := measureLatency(o, kinds, entry.HTTP, false)
 		if err != nil {
 			return err
 		}
@@ -65,16 +69,17 @@
 	return nil
 }
 
-// hopRun returns p50 and p99.
-func hopRun(o hopOptions, kinds []load.Kind, entry string, direct bool) ([2]time.Duration, error) {
-	r := load.Run(load.Options{Entries: []string{entry}, Kinds: kinds, Direct: direct, Phases: []load.Phase{{Rate: o.rate, For: o.span}}})
+// measureLatency sends calls to entry and returns their p50 and p99 latency. It
+// fails if any call fails.
+func measureLatency(o hopOptions, kinds []load.Kind, entry string, direct bool) ([2]time.Duration, error) {
+	r := load.Run(load.Options{Entries: []string{entry}, Kinds: kinds, Direct: direct, Phases: []load.Phase{{Rate: o.rate, For: o.runDuration}}})
 	for _, out := range r.Outcomes {
 		if !out.OK {
 			return [2]time.Duration{}, fault.Newf(fault.Internal, "a call failed: %s", out.Reason)
 		}
 	}
-	// The first second warms the connections.
-	h := r.Latency(0, time.Second, o.span)
+	// Skip the first second, in which connections are opened.
+	h := r.Latency(0, time.Second, o.runDuration)
 	us := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
 	return [2]time.Duration{us(50), us(99)}, nil
 }
--- a/cmd/umberbench/main.go
+++ b/cmd/umberbench/main.go
@@ -1,5 +1,5 @@
-// Umberbench runs fleets of processes on this machine: the demonstration and
-// the measurements.
+// Umberbench runs fleets of processes on one machine for demonstrations and
+// measurements.
 package main
 
 import (
@@ -17,28 +17,28 @@
 	bin := app.Flag("bin", "Folder of the commands; by default that of this one.").String()
 	runs := map[string]func() error{}
 
-	demo := app.Command("demo", "Kigali in small: whole requests of every kind through a chain.")
+	demo := app.Command("demo", "Start a small Kigali fleet and send requests of every kind through its chains of services.")
 	runs[demo.FullCommand()] = func() error { return runDemo(*bin) }
 
 	hold := app.Command("hold", "Start the fleet of the demonstration and keep it until interrupted.")
 	runs[hold.FullCommand()] = func() error { return runHold(*bin) }
 
-	surge := app.Command("surge", "A surge under several policies, and what became of the requests.")
+	surge := app.Command("surge", "Run a surge under several policies and print the outcomes of the requests.")
 	var so surgeOptions
 	surge.Flag("policy", "Policies to run: full, static, off. Repeat for more.").Default("full", "off").EnumsVar(&so.policies, "full", "static", "off")
-	surge.Flag("times", "Demand during the surge, in times of the capacity. Repeat for more.").Default("3").Float64ListVar(&so.times)
+	surge.Flag("times", "Demand during the surge, in times of the capacity. Repeat for more.").Default("3").Float64ListVar(&so.demandFactors)
 	surge.Flag("before", "How long before the surge, at 0.7 of the capacity.").Default("4s").DurationVar(&so.before)
 	surge.Flag("for", "How long the surge lasts.").Default("10s").DurationVar(&so.surge)
 	surge.Flag("after", "How long to watch the recovery, at 0.7 of the capacity.").Default("15s").DurationVar(&so.after)
 	surge.Flag("scenario", "What happens during the surge time.").Default(scenarioSurge).EnumVar(&so.scenario, scenarioNames()...)
-	surge.Flag("out", "Folder for the table and the plots.").StringVar(&so.out)
-	surge.Flag("last-line", "Print the summary line of make measure-quick.").BoolVar(&so.lastLine)
+	surge.Flag("out", "Folder for the table and the plots.").StringVar(&so.outputDir)
+	surge.Flag("last-line", "Print the summary line of make measure-quick.").BoolVar(&so.printSummary)
 	runs[surge.FullCommand()] = func() error { return runSurge(*bin, so) }
 
 	hop := app.Command("hop", "The time that two nodes on the way add to a call, against calling the backend server directly.")
 	var ho hopOptions
 	hop.Flag("rate", "Calls per second.").Default("2000").Float64Var(&ho.rate)
-	hop.Flag("for", "How long each run lasts.").Default("8s").DurationVar(&ho.span)
+	hop.Flag("for", "How long each run lasts.").Default("8s").DurationVar(&ho.runDuration)
 	hop.Flag("rounds", "Runs of each, in turn.").Default("3").IntVar(&ho.rounds)
 	runs[hop.FullCommand()] = func() error { return runHop(*bin, ho) }
 
@@ -46,14 +46,14 @@
 	var sc scaleOptions
 	scale.Flag("size", "Number of nodes. Repeat for more.").Default("8", "16", "32", "64", "128").IntsVar(&sc.sizes)
 	scale.Flag("settle", "How long to wait after the start.").Default("20s").DurationVar(&sc.settle)
-	scale.Flag("for", "How long to watch.").Default("15s").DurationVar(&sc.span)
+	scale.Flag("for", "How long to watch.").Default("15s").DurationVar(&sc.observation)
 	runs[scale.FullCommand()] = func() error { return runScale(*bin, sc) }
 
 	commit := app.Command("commit", "Latency of settings changes and keyed requests with real syncs, on three replicas.")
 	var co commitOptions
-	commit.Flag("changes", "Changes to make.").Default("500").IntVar(&co.changes)
+	commit.Flag("changes", "Changes to make.").Default("500").IntVar(&co.changeCount)
 	commit.Flag("rate", "Requests per second, half of them keyed.").Default("1600").Float64Var(&co.rate)
-	commit.Flag("for", "How long each rate lasts.").Default("8s").DurationVar(&co.span)
+	commit.Flag("for", "How long each rate lasts.").Default("8s").DurationVar(&co.runDuration)
 	runs[commit.FullCommand()] = func() error { return runCommit(*bin, co) }
 
 	prove := app.Command("prove", "Run the stateful fuzz tests with fresh seeds; needs the Go toolchain.")
@@ -62,30 +62,30 @@
 
 	soaks := app.Command("soak", "Disturb fleets of real processes by plans that follow from seeds, and check the promises of docs/PROOFS.md.")
 	var sk soakOptions
-	soaks.Flag("seed", "First seed; 0 draws one.").Uint64Var(&sk.seed)
-	soaks.Flag("seeds", "How many seeds to play.").Default("1").IntVar(&sk.seeds)
+	soaks.Flag("seed", "First seed; 0 draws one.").Uint64Var(&sk.firstSeed)
+	soaks.Flag("seeds", "How many seeds to play.").Default("1").IntVar(&sk.seedCount)
 	soaks.Flag("jobs", "How many to play at once.").Default("1").IntVar(&sk.jobs)
-	soaks.Flag("for", "How long faults are injected in each.").Default("20s").DurationVar(&sk.span)
+	soaks.Flag("for", "How long faults are injected in each.").Default("20s").DurationVar(&sk.faultDuration)
 	soaks.Flag("nodes", "Number of nodes of each fleet, at least 6.").Default("6").IntVar(&sk.nodes)
-	soaks.Flag("rate", "Requests per second to each fleet.").Default("120").IntVar(&sk.perSecond)
+	soaks.Flag("rate", "Requests per second to each fleet.").Default("120").IntVar(&sk.requestRate)
 	soaks.Flag("stalls", "Let the disks of replicas stall too, for 0.5 to 3.5 s at a time.").BoolVar(&sk.stalls)
-	soaks.Flag("poison", "Send a request that ends backend servers once all is well again.").BoolVar(&sk.poison)
-	soaks.Flag("failed", "Play the runs that once broke a promise, in place of the seeds.").BoolVar(&sk.failed)
-	soaks.Flag("json", "File for the reports as JSON, durations in nanoseconds.").StringVar(&sk.json)
+	soaks.Flag("poison", "Send a request that terminates backend servers after the fleet has recovered.").BoolVar(&sk.poison)
+	soaks.Flag("failed", "Play the runs that once broke a promise, in place of the seeds.").BoolVar(&sk.replayFailures)
+	soaks.Flag("json", "File for the reports as JSON, durations in nanoseconds.").StringVar(&sk.reportFile)
 	runs[soaks.FullCommand()] = func() error { return runSoak(*bin, sk) }
 
 	studies := app.Command("study", "A failure domain of each size in virtual time: time to notice a loss, false suspicions, bytes, time until settings are in force.")
 	var st studyOptions
 	studies.Flag("size", "Number of members. Repeat for more.").Default("32", "128", "512", "1091").IntsVar(&st.sizes)
 	studies.Flag("seed", "Seed of all choices.").Default("1").Uint64Var(&st.seed)
-	studies.Flag("loss", "Share of datagrams that is lost.").Default("0.01").Float64Var(&st.loss)
-	studies.Flag("out", "Folder for the plot.").StringVar(&st.out)
+	studies.Flag("loss", "Share of datagrams that is lost.").Default("0.01").Float64Var(&st.lossRate)
+	studies.Flag("out", "Folder for the plot.").StringVar(&st.plotDir)
 	runs[studies.FullCommand()] = func() error { return runStudy(st) }
 
-	models := app.Command("model", "A whole fleet under load in virtual time: the share that is earned of what requests are worth.")
+	models := app.Command("model", "Simulate a whole fleet under load in virtual time and print the share of the requests' worth that is earned.")
 	var mo modelOptions
 	models.Flag("load", "Load to play, all if none is named. Repeat for more.").EnumsVar(&mo.loads, loadNames()...)
-	models.Flag("seeds", "How many times each is played.").Default("5").IntVar(&mo.seeds)
+	models.Flag("seeds", "How many times each is played.").Default("5").IntVar(&mo.seedCount)
 	runs[models.FullCommand()] = func() error { return runModel(mo) }
 
 	name := kingpin.MustParse(app.Parse(os.Args[1:]))
--- a/cmd/umberbench/model.go
+++ b/cmd/umberbench/model.go
@@ -13,12 +13,13 @@
 	"github.com/umberthread/umberthread/internal/fleetmodel"
 )
 
+// modelOptions are the flags of the model command.
 type modelOptions struct {
-	loads []string
-	seeds int
+	loads     []string
+	seedCount int
 }
 
-// loadNames returns the loads that the model can play, in order.
+// loadNames returns the names of the loads that can be simulated, sorted.
 func loadNames() []string {
 	var names []string
 	for name := range fleetmodel.Loads {
@@ -28,7 +29,7 @@
 	return names
 }
 
-// runModel plays each load with some seeds and prints a table.
+// runModel simulates each load with several seeds and prints a table.
 func runModel(o modelOptions) error {
 	if len(o.loads) == 0 {
 		o.loads = loadNames()
@@ -38,15 +39,16 @@
 	for _, name := range o.loads {
 		load, ok := fleetmodel.Loads[name]
 		if !ok {
-			return fault.Newf(fault.NotFound, "load %q; known are %v", name, loadNames())
+			return fault.Newf(fault.NotFound, "unknown load %q; known loads are %v", name, loadNames())
 		}
-		printModel(w, name, playLoad(name, load(), o.seeds))
+		printModelRow(w, name, simulateLoad(name, load(), o.seedCount))
 	}
 	return w.Flush()
 }
 
-// playLoad plays a fleet once for each seed.
-func playLoad(name string, f fleetmodel.Fleet, seeds int) []*fleetmodel.Result {
+// simulateLoad simulates a fleet once for each seed and reports progress on
+// standard error.
+func simulateLoad(name string, f fleetmodel.Fleet, seeds int) []*fleetmodel.Result {
 	var all []*fleetmodel.Result
 	for seed := range seeds {
 		began := time.Now()
@@ -56,7 +58,9 @@
 	return all
 }
 
-func printModel(w *tabwriter.Writer, name string, all []*fleetmodel.Result) {
+// printModelRow prints the mean and standard deviation of the worth earned with
+// one load, and the mean share by request kind.
+func printModelRow(w *tabwriter.Writer, name string, all []*fleetmodel.Result) {
 	var worths []float64
 	byKind := map[string][]float64{}
 	var kinds []string
--- a/cmd/umberbench/plot.go
+++ b/cmd/umberbench/plot.go
@@ -11,26 +11,26 @@
 	"github.com/umberthread/umberthread/fault"
 )
 
-// plotSeries draws the useful calls per second over time, a line per run.
-func plotSeries(path string, o surgeOptions, all []figures) error {
+// plotUsefulCalls plots the useful calls per second over time, one line per run.
+func plotUsefulCalls(path string, o surgeOptions, all []surgeResult) error {
 	p := plot.New()
 	p.Title.Text = "Useful calls of the overloaded service: " + o.scenario
 	p.X.Label.Text = "time due, s"
 	p.Y.Label.Text = "calls per second"
 	p.Legend.Top = true
 	for i, fg := range all {
-		pts := make(plotter.XYs, len(fg.series))
-		for j, v := range fg.series {
-			pts[j].X = float64(j) * seriesStep.Seconds()
+		pts := make(plotter.XYs, len(fg.usefulCallRates))
+		for j, v := range fg.usefulCallRates {
+			pts[j].X = float64(j) * rateInterval.Seconds()
 			pts[j].Y = v
 		}
 		line, err := plotter.NewLine(pts)
 		if err != nil {
-			return fault.Wrap(fault.Internal, err, "cannot draw")
+			return fault.Wrap(fault.Internal, err, "cannot create a line of the plot")
 		}
 		line.Color = plotutil.Color(i)
 		p.Add(line)
-		p.Legend.Add(fmt.Sprintf("%s, %gx", fg.policy, fg.times), line)
+		p.Legend.Add(fmt.Sprintf("%s, %gx", fg.policy, fg.demandFactor), line)
 	}
 	if err := p.Save(24*vg.Centimeter, 12*vg.Centimeter, path); err != nil {
 		return fault.Wrap(fault.Internal, err, "cannot write the plot")
--- a/cmd/umberbench/prove.go
+++ b/cmd/umberbench/prove.go
@@ -14,41 +14,45 @@
 	"github.com/umberthread/umberthread/internal/seed"
 )
 
-// provePackages are the pure packages with stateful fuzz tests.
-var provePackages = []string{"./raft", "./confstore", "./claims", "./budget", "./admission", "./gossip", "./route", "./settings"}
+// fuzzedPackages are the packages with stateful property-based tests.
+var fuzzedPackages = []string{"./raft", "./confstore", "./claims", "./budget", "./admission", "./gossip", "./route", "./settings"}
 
-// proveChecks is how many cases each test runs for one seed.
-const proveChecks = 400
+// casesPerTest is the number of cases that each test runs for one seed.
+const casesPerTest = 400
 
-var passed = regexp.MustCompile(`passed (\d+) tests`)
+// passedCasesPattern matches the number of cases in the output of a passed test.
+var passedCasesPattern = regexp.MustCompile(`passed (\d+) tests`)
 
-// runProve runs the stateful fuzz tests with fresh seeds for as long as asked.
+// runProve runs the stateful tests with fresh seeds until the span has passed or
+// a test fails.
 func runProve(span time.Duration) error {
 	deadline := time.Now().Add(span)
 	cases, seeds := 0, 0
 	for time.Now().Before(deadline) {
 		s := rand.Uint64N(1 << 62)
 		seeds++
-		n, out, err := proveSeed(s)
+		n, out, err := runFuzzTests(s)
 		cases += n
 		fmt.Printf("seed %d: %d cases\n", s, n)
 		if err != nil {
 			fmt.Println(out)
-			return fault.Newf(fault.Internal, "seed %d fails; repeat with %s=%d go test %s", s, seed.Variable, s, strings.Join(provePackages, " "))
+			return fault.Newf(fault.Internal, "seed %d fails; repeat with %s=%d go test %s", s, seed.Variable, s, strings.Join(fuzzedPackages, " "))
 		}
 	}
 	fmt.Printf("prove: seeds=%d cases=%d failures=0\n", seeds, cases)
 	return nil
 }
 
-func proveSeed(s uint64) (int, string, error) {
-	args := append([]string{"test", "-count=1", "-v"}, provePackages...)
-	args = append(args, "-rapid.checks="+strconv.Itoa(proveChecks), "-rapid.nofailfile")
+// runFuzzTests runs the stateful tests with one seed and returns the number of
+// cases passed and the output.
+func runFuzzTests(s uint64) (int, string, error) {
+	args := append([]string{"test", "-count=1", "-v"}, fuzzedPackages...)
+	args = append(args, "-rapid.checks="+strconv.Itoa(casesPerTest), "-rapid.nofailfile")
 	cmd := exec.Command("go", args...)
 	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%d", seed.Variable, s))
 	out, err := cmd.CombinedOutput()
 	n := 0
-	for _, m := range passed.FindAllStringSubmatch(string(out), -1) {
+	for _, m := range passedCasesPattern.FindAllStringSubmatch(string(out), -1) {
 		if v, aerr := strconv.Atoi(m[1]); aerr == nil {
 			n += v
 		}
--- a/cmd/umberbench/scale.go
+++ b/cmd/umberbench/scale.go
@@ -17,31 +17,35 @@
 	"github.com/umberthread/umberthread/settings"
 )
 
+// scaleOptions are the flags of the scale command: the fleet sizes, the wait
+// after each start and the time of observation.
 type scaleOptions struct {
-	sizes        []int
-	settle, span time.Duration
+	sizes               []int
+	settle, observation time.Duration
 }
 
-// usage is what a node process has used.
-type usage struct {
-	cpu   time.Duration
-	bytes int64
-	rss   int64
+// resourceUsage is the processor time, control traffic in both directions and
+// resident memory of node processes.
+type resourceUsage struct {
+	cpu          time.Duration
+	controlBytes int64
+	rssBytes     int64
 }
 
-// runScale measures what a quiet fleet costs a node, and how long a change
-// takes until it is in force everywhere, against the number of nodes.
+// runScale measures the resource usage per node of an idle fleet, and the time
+// until a settings change is active on all nodes, by fleet size.
 func runScale(bin string, o scaleOptions) error {
 	fmt.Println("nodes  cpu/node  control in+out/node  rss/node  change in force: median  worst of 10")
 	for _, n := range o.sizes {
-		if err := withFleet(bin, func(f *harness.Fleet) error { return scaleOne(f, n, o) }); err != nil {
+		if err := withFleet(bin, func(f *harness.Fleet) error { return measureFleetSize(f, n, o) }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func scaleOne(f *harness.Fleet, size int, o scaleOptions) error {
+// measureFleetSize measures an empty fleet grown to size nodes and prints a row.
+func measureFleetSize(f *harness.Fleet, size int, o scaleOptions) error {
 	for i := range size {
 		spec := harness.NodeSpec{Domain: kigaliDomains[i%len(kigaliDomains)], Disk: i < 3, Extra: []string{"replicas = 3"}}
 		if _, err := f.StartNode(spec); err != nil {
@@ -51,34 +55,36 @@
 	if err := f.Form(f.Nodes[0]); err != nil {
 		return err
 	}
-	if err := awaitReplicas(f, 3); err != nil {
+	if err := awaitVoters(f, 3); err != nil {
 		return err
 	}
 	if err := awaitMembers(f, size); err != nil {
 		return err
 	}
 	time.Sleep(o.settle)
-	before, err := used(f)
+	before, err := totalUsage(f)
 	if err != nil {
 		return err
 	}
-	time.Sleep(o.span)
-	after, err := used(f)
+	time.Sleep(o.observation)
+	after, err := totalUsage(f)
 	if err != nil {
 		return err
 	}
-	forces, err := changeTimes(f, 10)
+	activations, err := changeActivationTimes(f, 10)
 	if err != nil {
 		return err
 	}
 	nodes := float64(size)
-	cpu := (after.cpu - before.cpu).Seconds() / nodes / o.span.Seconds()
+	cpu := (after.cpu - before.cpu).Seconds() / nodes / o.observation.Seconds()
 	fmt.Printf("%5d  %7.2f%%  %10.0f B/s  %14.1f MB  %18s  %12s\n", size, 100*cpu,
-		float64(after.bytes-before.bytes)/nodes/o.span.Seconds(), float64(after.rss)/nodes/(1<<20),
-		forces[len(forces)/2].Round(time.Millisecond), forces[len(forces)-1].Round(time.Millisecond))
+		float64(after.controlBytes-before.controlBytes)/nodes/o.observation.Seconds(), float64(after.rssBytes)/nodes/(1<<20),
+		activations[len(activations)/2].Round(time.Millisecond), activations[len(activations)-1].Round(time.Millisecond))
 	return nil
 }
 
+// awaitMembers waits until every node sees as many members as its failure domain
+// has at least.
 func awaitMembers(f *harness.Fleet, size int) error {
 	want := size / len(kigaliDomains)
 	return harness.Await(60*time.Second, func() error {
@@ -95,32 +101,34 @@
 	})
 }
 
-func used(f *harness.Fleet) (usage, error) {
-	var u usage
+// totalUsage adds up the resource usage of all nodes.
+func totalUsage(f *harness.Fleet) (resourceUsage, error) {
+	var u resourceUsage
 	for _, n := range f.Nodes {
 		s, err := n.Status()
 		if err != nil {
 			return u, err
 		}
-		u.bytes += s.Control.In + s.Control.Out
-		cpu, rss, err := procUsage(n.PID())
+		u.controlBytes += s.Control.In + s.Control.Out
+		cpu, rss, err := processUsage(n.PID())
 		if err != nil {
 			return u, err
 		}
 		u.cpu += cpu
-		u.rss += rss
+		u.rssBytes += rss
 	}
 	return u, nil
 }
 
-// clockTick is the unit of processor times in /proc, fixed on Linux.
+// clockTick is the unit of processor times in /proc on Linux.
 const clockTick = 10 * time.Millisecond
 
-// procUsage reads a process's processor time and resident memory.
-func procUsage(pid int) (time.Duration, int64, error) {
+// processUsage reads the processor time and the resident memory in bytes of a
+// process from /proc.
+func processUsage(pid int) (time.Duration, int64, error) {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
-		return 0, 0, fault.Wrap(fault.NotFound, err, "cannot read the process's use")
+		return 0, 0, fault.Wrap(fault.NotFound, err, "cannot read the resource usage of the process")
 	}
 	fields := strings.Fields(string(b[strings.LastIndexByte(string(b), ')')+1:]))
 	num := func(i int) int64 {
@@ -130,9 +138,10 @@
 	return time.Duration(num(11)+num(12)) * clockTick, num(21) * int64(os.Getpagesize()), nil
 }
 
-// changeTimes makes changes one after another and returns, sorted, how long
-// each took from when it was sent until it was in force on the last node.
-func changeTimes(f *harness.Fleet, n int) ([]time.Duration, error) {
+// changeActivationTimes makes n settings changes one after another and returns,
+// in ascending order, the time from sending each to its activation on the last
+// node.
+func changeActivationTimes(f *harness.Fleet, n int) ([]time.Duration, error) {
 	c := ctl.NewClient(f.Nodes[0].Admin)
 	var out []time.Duration
 	for i := range n {
@@ -149,7 +158,7 @@
 		if err := f.AwaitVersion(res.Version, 20*time.Second); err != nil {
 			return nil, err
 		}
-		last, err := inForceAt(f, res.Version)
+		last, err := lastActivation(f, res.Version)
 		if err != nil {
 			return nil, err
 		}
@@ -159,8 +168,9 @@
 	return out, nil
 }
 
-// inForceAt returns when the last node put a version in force, by its events.
-func inForceAt(f *harness.Fleet, version uint64) (time.Time, error) {
+// lastActivation returns when the last node activated a version, from the nodes'
+// event logs.
+func lastActivation(f *harness.Fleet, version uint64) (time.Time, error) {
 	var last time.Time
 	text := fmt.Sprintf("Version %d is in force.", version)
 	for _, a := range ctl.AskAll[[]node.Event](f.Admins(), "/v1/events", nil) {
--- a/cmd/umberbench/soak.go
+++ b/cmd/umberbench/soak.go
@@ -15,27 +15,29 @@
 	"github.com/umberthread/umberthread/internal/soak"
 )
 
+// soakOptions are the flags of the soak command.
 type soakOptions struct {
-	seed        uint64
-	seeds, jobs int
-	span        time.Duration
-	nodes       int
-	perSecond   int
-	// stalls tells whether disks stall, and poison whether a request that ends backend
-	// servers is sent.
+	firstSeed       uint64
+	seedCount, jobs int
+	faultDuration   time.Duration
+	nodes           int
+	requestRate     int
+	// stalls injects disk stalls. poison sends a request that terminates backend
+	// servers after the faults.
 	stalls, poison bool
-	// failed plays the runs that once broke a promise, in place of the seeds.
-	failed bool
-	// json is the file for the reports, or "".
-	json string
+	// replayFailures runs soak.Failures in place of the seeds.
+	replayFailures bool
+	// reportFile receives the reports as JSON; "" writes none.
+	reportFile string
 }
 
-// maxFreshSeed keeps drawn seeds short enough to be typed.
-const maxFreshSeed = 1 << 32
+// maxRandomSeed keeps random seeds short enough to type.
+const maxRandomSeed = 1 << 32
 
-// runSoak plays seeds, some at once, and fails if any broke a promise.
+// runSoak runs the planned runs, up to o.jobs at once, and fails if any run breaks
+// a promise or cannot be completed.
 func runSoak(bin string, o soakOptions) error {
-	runs := o.runs(bin)
+	runs := o.plannedRuns(bin)
 	next := make(chan soak.Options)
 	go func() {
 		defer close(next)
@@ -59,7 +61,7 @@
 					fmt.Printf("seed %d: not played: %v\n", run.Seed, err)
 				} else {
 					reports = append(reports, rep)
-					if !printSoak(rep) {
+					if !printReport(rep) {
 						failed++
 					}
 				}
@@ -68,8 +70,8 @@
 		}()
 	}
 	wg.Wait()
-	printKinds(reports)
-	if err := writeReports(o.json, reports); err != nil {
+	printStepCounts(reports)
+	if err := writeReports(o.reportFile, reports); err != nil {
 		return err
 	}
 	fmt.Printf("soak: seeds=%d failed=%d\n", len(runs), failed)
@@ -79,38 +81,38 @@
 	return nil
 }
 
-// runs are the runs to play.
-func (o soakOptions) runs(bin string) []soak.Options {
+// plannedRuns returns the options of each run.
+func (o soakOptions) plannedRuns(bin string) []soak.Options {
 	var out []soak.Options
 	add := func(seed uint64, span time.Duration, stalls bool) {
-		out = append(out, soak.Options{Bin: bin, Seed: seed, Span: span, Stalls: stalls, Poison: o.poison, Nodes: o.nodes, PerSecond: o.perSecond})
+		out = append(out, soak.Options{Bin: bin, Seed: seed, Span: span, Stalls: stalls, Poison: o.poison, Nodes: o.nodes, PerSecond: o.requestRate})
 	}
-	if o.failed {
+	if o.replayFailures {
 		for _, f := range soak.Failures {
 			fmt.Printf("seed %d: once %s\n", f.Seed, f.Cause)
 			add(f.Seed, f.Span, f.Stalls)
 		}
 		return out
 	}
-	first := o.seed
+	first := o.firstSeed
 	if first == 0 {
-		first = 1 + rand.Uint64N(maxFreshSeed)
+		first = 1 + rand.Uint64N(maxRandomSeed)
 	}
-	for i := range o.seeds {
-		add(first+uint64(i), o.span, o.stalls)
+	for i := range o.seedCount {
+		add(first+uint64(i), o.faultDuration, o.stalls)
 	}
 	return out
 }
 
-// lateRecovery is the time from which on it is told what was not served: twice what
-// most runs take.
-const lateRecovery = 8 * time.Second
+// slowRecovery is the recovery time above which the requests that were not served,
+// or slowly, are printed.
+const slowRecovery = 8 * time.Second
 
-// printSoak prints a report; true if nothing is broken.
-func printSoak(rep *soak.Report) bool {
+// printReport prints a report and returns whether the run broke no promise.
+func printReport(rep *soak.Report) bool {
 	fmt.Printf("seed %d: %d steps, %d attempts, %d served, %d refused, %d changes, recovered after %s, replicas whole %s later, in force %s after the return of all replicas\n",
 		rep.Seed, len(rep.Steps), rep.Attempts, rep.Served, rep.Refused, rep.Changes, rep.Recovered.Round(10*time.Millisecond), rep.Repaired.Round(10*time.Millisecond), rep.InForce.Round(time.Millisecond))
-	if rep.Recovered > lateRecovery {
+	if rep.Recovered > slowRecovery {
 		for _, m := range rep.Missed {
 			fmt.Println("  not served, or slowly:", m)
 		}
@@ -133,8 +135,8 @@
 	return false
 }
 
-// printKinds prints how often each kind of step was planned and carried out.
-func printKinds(reports []*soak.Report) {
+// printStepCounts prints how often each kind of step was planned and executed.
+func printStepCounts(reports []*soak.Report) {
 	planned, played := map[soak.Kind]int{}, map[soak.Kind]int{}
 	for _, rep := range reports {
 		for _, s := range rep.Steps {
@@ -152,7 +154,8 @@
 	_ = w.Flush()
 }
 
-// writeReports writes the reports as JSON, durations in nanoseconds; no file for "".
+// writeReports writes the reports as JSON with durations in nanoseconds. It does
+// nothing if file is "".
 func writeReports(file string, reports []*soak.Report) error {
 	if file == "" {
 		return nil
--- a/cmd/umberbench/study.go
+++ b/cmd/umberbench/study.go
@@ -16,15 +16,16 @@
 	"github.com/umberthread/umberthread/internal/study"
 )
 
+// studyOptions are the flags of the study command.
 type studyOptions struct {
-	sizes []int
-	seed  uint64
-	loss  float64
-	// out is the folder for the plot, or "".
-	out string
+	sizes    []int
+	seed     uint64
+	lossRate float64
+	// plotDir is the folder for the plot; "" writes none.
+	plotDir string
 }
 
-// runStudy plays a failure domain of each size and prints a table.
+// runStudy simulates a failure domain of each size and prints a table.
 func runStudy(o studyOptions) error {
 	var all []study.Figures
 	for _, size := range o.sizes {
@@ -32,15 +33,16 @@
 		progress := func(what string) {
 			fmt.Fprintf(os.Stderr, "%d members: %s, after %s\n", size, what, time.Since(began).Round(time.Second))
 		}
-		all = append(all, study.Run(study.Options{Members: size, Seed: o.seed, Loss: o.loss, Progress: progress}))
+		all = append(all, study.Run(study.Options{Members: size, Seed: o.seed, Loss: o.lossRate, Progress: progress}))
 	}
 	printStudy(all)
-	if o.out == "" {
+	if o.plotDir == "" {
 		return nil
 	}
-	return plotStudy(filepath.Join(o.out, "study.svg"), all)
+	return plotStudy(filepath.Join(o.plotDir, "study.svg"), all)
 }
 
+// printStudy prints one row per simulated failure domain.
 func printStudy(all []study.Figures) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "members\tsettled s\tquiet B/s\trestarts B/s\tsuspected /h\theld dead /h\tnoticed s, median\t99%\tby all, longest\tin force ms, median\t99%\tlongest")
@@ -53,7 +55,8 @@
 	_ = w.Flush()
 }
 
-// plotStudy draws the times against the number of members.
+// plotStudy plots failure detection and settings activation times by the number
+// of members.
 func plotStudy(path string, all []study.Figures) error {
 	p := plot.New()
 	p.Title.Text = "A failure domain in virtual time"
@@ -78,7 +81,7 @@
 		}
 		line, points, err := plotter.NewLinePoints(pts)
 		if err != nil {
-			return fault.Wrap(fault.Internal, err, "cannot draw")
+			return fault.Wrap(fault.Internal, err, "cannot create a line of the plot")
 		}
 		line.Color, points.Color = plotutil.Color(i), plotutil.Color(i)
 		p.Add(line, points)
--- a/cmd/umberbench/surge.go
+++ b/cmd/umberbench/surge.go
@@ -15,52 +15,55 @@
 	"github.com/umberthread/umberthread/settings"
 )
 
-// The scenarios.
+// Values of the scenario flag.
 const (
-	scenarioSurge    = "surge"
-	scenarioSlow     = "slow"
-	scenarioHalf     = "half"
-	scenarioGrayFail = "gray-errors"
-	scenarioGraySlow = "gray-slow"
-	scenarioBoth     = "surge-and-slow"
+	scenarioSurge        = "surge"
+	scenarioSlow         = "slow"
+	scenarioHalfKilled   = "half"
+	scenarioGrayFail     = "gray-errors"
+	scenarioGraySlow     = "gray-slow"
+	scenarioSurgeAndSlow = "surge-and-slow"
 )
 
+// scenarioNames returns the values of the scenario flag.
 func scenarioNames() []string {
-	return []string{scenarioSurge, scenarioSlow, scenarioHalf, scenarioGrayFail, scenarioGraySlow, scenarioBoth}
+	return []string{scenarioSurge, scenarioSlow, scenarioHalfKilled, scenarioGrayFail, scenarioGraySlow, scenarioSurgeAndSlow}
 }
 
+// surgeOptions are the flags of the surge command.
 type surgeOptions struct {
 	policies             []string
-	times                []float64
+	demandFactors        []float64
 	before, surge, after time.Duration
 	scenario             string
-	out                  string
-	lastLine             bool
+	outputDir            string
+	printSummary         bool
 }
 
 const (
-	rosterSlots = 4
-	rosterTime  = 80 * time.Millisecond
-	// calm is the demand before and after, as a share of the capacity.
-	calm = 0.7
+	rostersSlots       = 4
+	rostersServiceTime = 80 * time.Millisecond
+	// baselineLoad is the demand before and after the surge, as a share of capacity.
+	baselineLoad = 0.7
 )
 
-// surgeServices are the Kigali services with a tenth of their slots; rosters
-// is the deep one that runs out of capacity.
-var surgeServices = []serviceShape{
+// surgeServices are the Kigali services with a tenth of their slots. rosters, at
+// the end of the call chains, is the one that runs out of capacity.
+var surgeServices = []serviceSpec{
 	{"kigali/sheets", 30, 190, []string{"open=5ms:kigali/rosters/day", "preview=5ms:kigali/rosters/day*3"}},
 	{"kigali/bookings", 30, 190, []string{"list=5ms:kigali/rosters/day"}},
 	{"kigali/locations", 30, 190, []string{"find=5ms"}},
-	{"kigali/rosters", rosterSlots, 35, []string{"day=80ms", "catering=80ms"}},
+	{"kigali/rosters", rostersSlots, 35, []string{"day=80ms", "catering=80ms"}},
 }
 
-// surgeKind is a kind of the mix with its calls of rosters.
+// surgeKind is a request kind with the number of rosters calls of each request.
 type surgeKind struct {
 	load.Kind
-	calls     int
-	protected bool
+	rostersCalls int
+	protected    bool
 }
 
+// surgeKinds is the request mix of the surge.
 var surgeKinds = []surgeKind{
 	{load.Kind{Target: "kigali/sheets/open", Share: 0.08, Deadline: 4 * time.Second}, 1, true},
 	{load.Kind{Target: "kigali/sheets/preview", Share: 0.22, Deadline: 2 * time.Second}, 3, false},
@@ -69,93 +72,102 @@
 	{load.Kind{Target: "kigali/locations/find", Share: 0.10, Deadline: 2 * time.Second}, 0, false},
 }
 
-// surgeCapacity is what rosters can serve, in calls per second.
-func surgeCapacity() float64 {
-	return float64(len(kigaliDomains)*rosterSlots) / rosterTime.Seconds()
+// rostersCapacity returns the calls per second that the rosters service can serve.
+func rostersCapacity() float64 {
+	return float64(len(kigaliDomains)*rostersSlots) / rostersServiceTime.Seconds()
 }
 
-// callsPerRequest is the mean number of rosters calls of a request.
-func callsPerRequest() float64 {
+// rostersCallsPerRequest returns the mean number of rosters calls of a request.
+func rostersCallsPerRequest() float64 {
 	sum := 0.0
 	for _, k := range surgeKinds {
-		sum += k.Share * float64(k.calls)
+		sum += k.Share * float64(k.rostersCalls)
 	}
 	return sum
 }
 
-// figures are the outcome of one run.
-type figures struct {
-	policy    string
-	scenario  string
-	times     float64
-	goodput   float64
-	protected float64
-	calm      float64
-	amplify   float64
-	wasted    float64
-	recovery  time.Duration
-	recovered bool
-	p50, p99  time.Duration
-	p999      time.Duration
-	refusal   time.Duration
-	wrong     int
-	series    []float64
+// surgeResult holds the measured values of one run. Goodput is the ratio of useful
+// rosters calls to the lower of capacity and demand; amplification counts the
+// nodes' retries only.
+type surgeResult struct {
+	policy          string
+	scenario        string
+	demandFactor    float64
+	goodput         float64
+	protectedServed float64
+	baselineServed  float64
+	amplification   float64
+	wastedShare     float64
+	recovery        time.Duration
+	recovered       bool
+	p50, p99        time.Duration
+	p999            time.Duration
+	refusalP99      time.Duration
+	wrongResponses  int
+	usefulCallRates []float64
 }
 
+// runSurge runs every combination of demand factor and policy and prints the
+// results.
 func runSurge(bin string, o surgeOptions) error {
-	var all []figures
-	for _, times := range o.times {
+	var all []surgeResult
+	for _, demandFactor := range o.demandFactors {
 		for _, policy := range o.policies {
-			fg, err := oneSurge(bin, o, policy, times)
+			fg, err := runSurgeOnce(bin, o, policy, demandFactor)
 			if err != nil {
 				return err
 			}
 			all = append(all, *fg)
 			fmt.Printf("%s policy=%s times=%g goodput=%.2f protected=%.3f calm=%.3f amplification=%.2f wasted=%.2f recovery=%s p50=%s p99=%s p99.9=%s refusal_p99=%s wrong=%d\n",
-				fg.scenario, policy, times, fg.goodput, fg.protected, fg.calm, fg.amplify, fg.wasted, fg.recoveryText(), fg.p50, fg.p99, fg.p999, fg.refusal, fg.wrong)
+				fg.scenario, policy, demandFactor, fg.goodput, fg.protectedServed, fg.baselineServed, fg.amplification, fg.wastedShare, fg.recoveryText(), fg.p50, fg.p99, fg.p999, fg.refusalP99, fg.wrongResponses)
 		}
 	}
-	if o.out != "" {
+	if o.outputDir != "" {
 		if err := writeMeasurement(o, all); err != nil {
 			return err
 		}
 	}
-	if o.lastLine {
-		full, base := pickPolicy(all, "full"), pickPolicy(all, "off")
+	if o.printSummary {
+		full, base := resultOfPolicy(all, "full"), resultOfPolicy(all, "off")
 		fmt.Printf("measure: goodput=%.2f baseline=%.2f recovery_s=%s baseline_recovery_s=%s amplification=%.2f wasted=%.2f\n",
-			full.goodput, base.goodput, full.recoveryText(), base.recoveryText(), full.amplify, full.wasted)
+			full.goodput, base.goodput, full.recoveryText(), base.recoveryText(), full.amplification, full.wastedShare)
 	}
 	return nil
 }
 
-func pickPolicy(all []figures, policy string) figures {
+// resultOfPolicy returns the first result with the policy, or a zero result.
+func resultOfPolicy(all []surgeResult, policy string) surgeResult {
 	for _, f := range all {
 		if f.policy == policy {
 			return f
 		}
 	}
-	return figures{}
+	return surgeResult{}
 }
 
-func (f *figures) recoveryText() string {
+// recoveryText formats the recovery time in seconds, or "never".
+func (f *surgeResult) recoveryText() string {
 	if !f.recovered {
 		return "never"
 	}
 	return fmt.Sprintf("%.1f", f.recovery.Seconds())
 }
 
-func oneSurge(bin string, o surgeOptions, policy string, times float64) (fg *figures, err error) {
+// runSurgeOnce measures one policy and demand factor on a fleet of its own.
+func runSurgeOnce(bin string, o surgeOptions, policy string, demandFactor float64) (fg *surgeResult, err error) {
 	err = withFleet(bin, func(f *harness.Fleet) error {
-		fg, err = surge(f, o, policy, times)
+		fg, err = measureSurge(f, o, policy, demandFactor)
 		return err
 	})
 	return fg, err
 }
 
-func surge(f *harness.Fleet, o surgeOptions, policy string, times float64) (*figures, error) {
-	tree, err := os.ReadFile(kigaliTree)
+// measureSurge starts the services, sends the load of the scenario and evaluates
+// the outcomes.
+func measureSurge(f *harness.Fleet, o surgeOptions, policy string, demandFactor float64) (*surgeResult, error) {
+	tree, err := os.ReadFile(kigaliSettingsFile)
 	if err != nil {
-		return nil, fault.Wrap(fault.NotFound, err, "run this from the folder of the repository")
+		return nil, fault.Wrap(fault.NotFound, err, "run this command from the root of the repository")
 	}
 	if err := startFleet(f, kigaliDomains, surgeServices, func(int, int) bool { return true }); err != nil {
 		return nil, err
@@ -167,27 +179,27 @@
 	for _, k := range surgeKinds {
 		kinds = append(kinds, k.Kind)
 	}
-	if err := awaitServed(f, kinds); err != nil {
+	if err := awaitKindsServed(f, kinds); err != nil {
 		return nil, err
 	}
-	base := surgeCapacity() / callsPerRequest()
-	demand := base * times
-	if o.scenario != scenarioSurge && o.scenario != scenarioBoth {
-		demand = base * calm
+	base := rostersCapacity() / rostersCallsPerRequest()
+	demand := base * demandFactor
+	if o.scenario != scenarioSurge && o.scenario != scenarioSurgeAndSlow {
+		demand = base * baselineLoad
 	}
 	r := load.Run(load.Options{
 		Entries: f.Entries(), Kinds: kinds, Resends: 8, Pause: 50 * time.Millisecond,
 		Phases: []load.Phase{
-			{Rate: base * calm, For: o.before},
-			{Rate: demand, For: o.surge, Start: func() { go trigger(f, o.scenario, true) }},
-			{Rate: base * calm, For: o.after, Start: func() { go trigger(f, o.scenario, false) }},
+			{Rate: base * baselineLoad, For: o.before},
+			{Rate: demand, For: o.surge, Start: func() { go applyScenario(f, o.scenario, true) }},
+			{Rate: base * baselineLoad, For: o.after, Start: func() { go applyScenario(f, o.scenario, false) }},
 		},
 	})
-	return evaluate(f, o, policy, times, r)
+	return evaluateRun(f, o, policy, demandFactor, r)
 }
 
-// trigger begins or ends what a scenario does to the stand-ins of rosters.
-func trigger(f *harness.Fleet, scenario string, begin bool) {
+// applyScenario starts or ends the scenario's faults at the rosters stand-ins.
+func applyScenario(f *harness.Fleet, scenario string, begin bool) {
 	var rosters []*harness.Server
 	for _, s := range f.Servers {
 		if s.Service == "kigali/rosters" {
@@ -203,13 +215,13 @@
 		}
 	}
 	switch scenario {
-	case scenarioSlow, scenarioBoth:
+	case scenarioSlow, scenarioSurgeAndSlow:
 		set(rosters, standin.Faults{Slow: 4})
 	case scenarioGrayFail:
 		set(rosters[:1], standin.Faults{Fail: 0.9})
 	case scenarioGraySlow:
 		set(rosters[:1], standin.Faults{Slow: 10})
-	case scenarioHalf:
+	case scenarioHalfKilled:
 		for _, s := range rosters[:len(rosters)/2] {
 			if begin {
 				s.Signal(syscall.SIGKILL)
@@ -220,12 +232,13 @@
 	}
 }
 
-// capacityDuring is the capacity during the trigger, as a share.
-func capacityDuring(scenario string) float64 {
+// capacityShare returns the share of the rosters capacity that remains under a
+// scenario's faults.
+func capacityShare(scenario string) float64 {
 	switch scenario {
-	case scenarioSlow, scenarioBoth:
+	case scenarioSlow, scenarioSurgeAndSlow:
 		return 0.25
-	case scenarioHalf:
+	case scenarioHalfKilled:
 		return 0.5
 	case scenarioGrayFail:
 		return 0.75
@@ -236,18 +249,18 @@
 	}
 }
 
-const seriesStep = 250 * time.Millisecond
+// rateInterval is the width of the intervals of usefulCallRates and recovery.
+const rateInterval = 250 * time.Millisecond
 
-// tally counts what became of the requests before and during the trigger.
-type tally struct {
-	useful, demanded       float64
-	protected, protectedOK int
-	calm, calmOK           int
+// requestCounts counts requests before and during the surge, and those served.
+type requestCounts struct {
+	usefulCalls, demandedCalls float64
+	protected, protectedServed int
+	baseline, baselineServed   int
 }
 
-// add counts one request, by when it was due. The first second of the trigger
-// is counted too: it is part of the bill.
-func (t *tally) add(out *load.Outcome, from, to time.Duration) {
+// add counts one request by its due time; from and to bound the surge.
+func (t *requestCounts) add(out *load.Outcome, from, to time.Duration) {
 	k := surgeKinds[out.Kind]
 	ok := 0
 	if out.OK {
@@ -255,49 +268,54 @@
 	}
 	switch {
 	case out.Due < from:
-		t.calm++
-		t.calmOK += ok
+		t.baseline++
+		t.baselineServed += ok
 	case out.Due < to:
-		t.demanded += float64(k.calls)
-		t.useful += float64(ok * k.calls)
+		t.demandedCalls += float64(k.rostersCalls)
+		t.usefulCalls += float64(ok * k.rostersCalls)
 		if k.protected {
 			t.protected++
-			t.protectedOK += ok
+			t.protectedServed += ok
 		}
 	}
 }
 
-func share(part, of int) float64 { return float64(part) / float64(max(1, of)) }
+// ratio returns part/of, taking of as at least 1.
+func ratio(part, of int) float64 { return float64(part) / float64(max(1, of)) }
 
-func evaluate(f *harness.Fleet, o surgeOptions, policy string, times float64, r *load.Result) (*figures, error) {
-	fg := &figures{policy: policy, scenario: o.scenario, times: times}
+// evaluateRun computes the result of a run from its outcomes and the fleet's
+// counters.
+func evaluateRun(f *harness.Fleet, o surgeOptions, policy string, demandFactor float64, r *load.Result) (*surgeResult, error) {
+	fg := &surgeResult{policy: policy, scenario: o.scenario, demandFactor: demandFactor}
 	from, to := o.before, o.before+o.surge
-	var t tally
+	var t requestCounts
 	for i := range r.Outcomes {
 		t.add(&r.Outcomes[i], from, to)
 		if r.Outcomes[i].Wrong {
-			fg.wrong++
+			fg.wrongResponses++
 		}
 	}
-	capacity := surgeCapacity() * capacityDuring(o.scenario) * o.surge.Seconds()
-	fg.goodput = t.useful / min(capacity, t.demanded)
-	fg.calm = share(t.calmOK, t.calm)
-	fg.protected = share(t.protectedOK, t.protected)
-	if err := fg.account(f, r); err != nil {
+	capacity := rostersCapacity() * capacityShare(o.scenario) * o.surge.Seconds()
+	fg.goodput = t.usefulCalls / min(capacity, t.demandedCalls)
+	fg.baselineServed = ratio(t.baselineServed, t.baseline)
+	fg.protectedServed = ratio(t.protectedServed, t.protected)
+	if err := fg.measureWorkAndRetries(f, r); err != nil {
 		return nil, err
 	}
-	fg.series = series(r)
-	fg.recover(r, to)
+	fg.usefulCallRates = usefulCallRates(r)
+	fg.measureRecovery(r, to)
 	h := r.Latency(-1, from, to)
 	fg.p50 = time.Duration(h.ValueAtQuantile(50)) * time.Microsecond
 	fg.p99 = time.Duration(h.ValueAtQuantile(99)) * time.Microsecond
 	fg.p999 = time.Duration(h.ValueAtQuantile(99.9)) * time.Microsecond
-	fg.refusal = refusalTime(r)
+	fg.refusalP99 = refusalP99(r)
 	return fg, nil
 }
 
-// account works out the wasted work and the retries that the fleet added.
-func (fg *figures) account(f *harness.Fleet, r *load.Result) error {
+// measureWorkAndRetries sets the share of backend server work spent on requests
+// that failed, and the amplification by the nodes' retries. Servers that have
+// exited are left out.
+func (fg *surgeResult) measureWorkAndRetries(f *harness.Fleet, r *load.Result) error {
 	ok := map[string]bool{}
 	for _, out := range r.Outcomes {
 		ok[out.ID] = out.OK
@@ -322,7 +340,7 @@
 		}
 	}
 	if total > 0 {
-		fg.wasted = wasted / total
+		fg.wastedShare = wasted / total
 	}
 	var calls, retries int64
 	for _, n := range f.Nodes {
@@ -333,27 +351,29 @@
 		calls += st.Calls
 		retries += st.Retries
 	}
-	fg.amplify = 1 + float64(retries)/float64(max(1, calls))
+	fg.amplification = 1 + float64(retries)/float64(max(1, calls))
 	return nil
 }
 
-// series is the useful rosters calls per second over time, by due time.
-func series(r *load.Result) []float64 {
+// usefulCallRates returns the useful rosters calls per second in each interval,
+// by due time.
+func usefulCallRates(r *load.Result) []float64 {
 	var out []float64
 	for _, o := range r.Outcomes {
-		at := int(o.Due / seriesStep)
+		at := int(o.Due / rateInterval)
 		for len(out) <= at {
 			out = append(out, 0)
 		}
 		if o.OK {
-			out[at] += float64(surgeKinds[o.Kind].calls) / seriesStep.Seconds()
+			out[at] += float64(surgeKinds[o.Kind].rostersCalls) / rateInterval.Seconds()
 		}
 	}
 	return out
 }
 
-// recover finds when the share of served requests is back at 95% and stays.
-func (fg *figures) recover(r *load.Result, end time.Duration) {
+// measureRecovery sets the time after end from which at least 95% of the requests
+// are served until the end of the run.
+func (fg *surgeResult) measureRecovery(r *load.Result, end time.Duration) {
 	type bin struct{ due, ok int }
 	bins := map[int]*bin{}
 	last := 0
@@ -361,7 +381,7 @@
 		if o.Due < end {
 			continue
 		}
-		at := int((o.Due - end) / seriesStep)
+		at := int((o.Due - end) / rateInterval)
 		if bins[at] == nil {
 			bins[at] = &bin{}
 		}
@@ -371,7 +391,7 @@
 		}
 		last = max(last, at)
 	}
-	// The tail of the window must be good over half a second each.
+	// Search backwards for the last window of two intervals with less than 95% served.
 	recovered := last + 1
 	for at := last; at >= 0; at-- {
 		due, ok := 0, 0
@@ -386,12 +406,12 @@
 		}
 		recovered = at
 	}
-	fg.recovery = time.Duration(recovered) * seriesStep
+	fg.recovery = time.Duration(recovered) * rateInterval
 	fg.recovered = recovered <= last-3
 }
 
-// refusalTime is the p99 of the time until a refusal.
-func refusalTime(r *load.Result) time.Duration {
+// refusalP99 returns the p99 latency of the refusals.
+func refusalP99(r *load.Result) time.Duration {
 	h := (&load.Result{}).Latency(-1, 0, 0)
 	for _, o := range r.Outcomes {
 		if !o.OK && o.Status == 503 {
@@ -401,20 +421,20 @@
 	return time.Duration(h.ValueAtQuantile(99)) * time.Microsecond
 }
 
-// writeMeasurement writes the table and a plot of goodput over time.
-func writeMeasurement(o surgeOptions, all []figures) error {
-	if err := os.MkdirAll(o.out, 0o755); err != nil {
-		return fault.Wrap(fault.Internal, err, "cannot make the folder")
+// writeMeasurement writes the table and a plot of useful calls over time.
+func writeMeasurement(o surgeOptions, all []surgeResult) error {
+	if err := os.MkdirAll(o.outputDir, 0o755); err != nil {
+		return fault.Wrap(fault.Internal, err, "cannot create the output folder")
 	}
-	f, err := os.Create(filepath.Join(o.out, o.scenario+".txt"))
+	f, err := os.Create(filepath.Join(o.outputDir, o.scenario+".txt"))
 	if err != nil {
 		return fault.Wrap(fault.Internal, err, "cannot write the table")
 	}
 	w := tabwriter.NewWriter(f, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "SCENARIO\tTIMES\tPOLICY\tGOODPUT\tPROTECTED SERVED\tAMPLIFICATION\tWASTED\tRECOVERY S\tP50\tP99\tP99.9\tREFUSAL P99")
 	for _, fg := range all {
-		_, _ = fmt.Fprintf(w, "%s\t%g\t%s\t%.2f\t%.3f\t%.2f\t%.2f\t%s\t%s\t%s\t%s\t%s\n", fg.scenario, fg.times, fg.policy, fg.goodput,
-			fg.protected, fg.amplify, fg.wasted, fg.recoveryText(), fg.p50, fg.p99, fg.p999, fg.refusal)
+		_, _ = fmt.Fprintf(w, "%s\t%g\t%s\t%.2f\t%.3f\t%.2f\t%.2f\t%s\t%s\t%s\t%s\t%s\n", fg.scenario, fg.demandFactor, fg.policy, fg.goodput,
+			fg.protectedServed, fg.amplification, fg.wastedShare, fg.recoveryText(), fg.p50, fg.p99, fg.p999, fg.refusalP99)
 	}
 	if err := w.Flush(); err != nil {
 		return fault.Wrap(fault.Internal, err, "cannot write the table")
@@ -422,5 +442,5 @@
 	if err := f.Close(); err != nil {
 		return fault.Wrap(fault.Internal, err, "cannot write the table")
 	}
-	return plotSeries(filepath.Join(o.out, o.scenario+".svg"), o, all)
+	return plotUsefulCalls(filepath.Join(o.outputDir, o.scenario+".svg"), o, all)
 }
