--- a/cmd/umberload/main.go
+++ b/cmd/umberload/main.go
@@ -1,4 +1,5 @@
-// Umberload sends requests to nodes in an open loop and prints what came back.
+// Umberload is an open-loop load generator for nodes; it prints a summary of the
+// outcomes.
 package main
 
 import (
@@ -12,7 +13,7 @@
 )
 
 func main() {
-	app := kingpin.New("umberload", "Send requests at a fixed rate, whatever becomes of them; latency counts from when a request was due.")
+	app := kingpin.New("umberload", "Send requests at a fixed rate, regardless of their outcomes; latency counts from when a request was due.")
 	entries := app.Flag("entry", "HTTP address of a node. Repeat for more.").Required().Strings()
 	targets := app.Flag("target", "fleet/service/kind. Repeat for an even mix.").Required().Strings()
 	rate := app.Flag("rate", "Requests per second.").Default("100").Float64()
@@ -21,7 +22,7 @@
 	body := app.Flag("body", "Bytes in each request.").Default("500").Int()
 	resends := app.Flag("resends", "How often a caller sends a failed request again.").Default("0").Int()
 	pause := app.Flag("pause", "Time before a resend.").Default("100ms").Duration()
-	polite := app.Flag("polite", "Come back when the refusal says.").Bool()
+	polite := app.Flag("polite", "Wait before a resend as long as the refusal's Retry-After says.").Bool()
 	keyed := app.Flag("keyed", "Give each request an Idempotency-Key.").Bool()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 
@@ -30,10 +31,12 @@
 		o.Kinds = append(o.Kinds, load.Kind{Target: t, Share: 1 / float64(len(*targets)), Deadline: *deadline, Body: *body, Keyed: *keyed})
 	}
 	o.Phases = []load.Phase{{Rate: *rate, For: *span}}
-	report(load.Run(o))
+	printResult(load.Run(o))
 }
 
-func report(r *load.Result) {
+// printResult prints the number served, latency percentiles, and failures by
+// reason.
+func printResult(r *load.Result) {
 	served := 0
 	reasons := map[string]int{}
 	for _, o := range r.Outcomes {
