--- a/cmd/umberstand/main.go
+++ b/cmd/umberstand/main.go
@@ -32,6 +32,7 @@
 	}
 }
 
+// run serves the given request kinds until SIGTERM or SIGINT.
 func run(o standin.Options, kinds []string) error {
 	o.Kinds = map[string]standin.Kind{}
 	for _, s := range kinds {
