--- a/cmd/umberthreadd/main.go
+++ b/cmd/umberthreadd/main.go
@@ -1,4 +1,4 @@
-// Umberthreadd is the node beside one backend server instance.
+// Umberthreadd is the node process that runs beside one backend server instance.
 package main
 
 import (
@@ -24,9 +24,11 @@
 it gracefully: nothing in flight is cut.`
 
 const (
-	gcPercent = 400
-	// memoryLimit leaves room below the 256 MB that a node may take.
-	memoryLimit = 200 << 20
+	// garbageCollectionPercent trades memory for fewer collections, which delay calls.
+	// Near memoryLimitBytes the collector runs as often as needed.
+	garbageCollectionPercent = 400
+	// memoryLimitBytes leaves headroom below the 256 MB that a node may use.
+	memoryLimitBytes = 200 << 20
 )
 
 func main() {
@@ -40,6 +42,8 @@
 	}
 }
 
+// run starts a node with the settings file at path and stops it on SIGTERM or
+// SIGINT. With checkOnly it only validates the file.
 func run(path string, checkOnly bool) error {
 	opt, err := node.LoadOptions(path)
 	if err != nil || checkOnly {
@@ -51,10 +55,8 @@
 	if err != nil {
 		return err
 	}
-	// Collect garbage less often than is usual: collections show in the time
-	// that a node adds to a call. Near the limit they come as often as needed.
-	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(memoryLimit)
+	debug.SetGCPercent(garbageCollectionPercent)
+	debug.SetMemoryLimit(memoryLimitBytes)
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	if err := n.Start(); err != nil {
