--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -1,5 +1,5 @@
-// Package e2e brings about failures with real processes: kills, freezes, lost
-// and damaged disks, cuts and silent connections.
+// Package e2e tests fleets of real processes under kills, freezes, lost and damaged
+// disks, and restarts.
 package e2e
 
 import (
@@ -20,8 +20,10 @@
 	"github.com/umberthread/umberthread/settings"
 )
 
-var bin string
+// binDir is the folder of the commands, built once by TestMain.
+var binDir string
 
+// TestMain builds the commands under test and removes them afterwards.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "umberthread-bin-")
 	if err != nil {
@@ -33,13 +35,14 @@
 		fmt.Fprintln(os.Stderr, string(out))
 		os.Exit(1)
 	}
-	bin = dir
+	binDir = dir
 	code := m.Run()
 	_ = os.RemoveAll(dir)
 	os.Exit(code)
 }
 
-const tree = `
+// initialSettings declares the request kinds of the tests' backend servers.
+const initialSettings = `
 [default]
 deadline = "3s"
 [fleet.suva.service.cover-desk.kind.check]
@@ -55,15 +58,17 @@
 deadline = "5s"
 `
 
-// fleet is a harness.Fleet that fails the test.
-type fleet struct {
+// testFleet is a harness.Fleet whose helpers fail the test on errors.
+type testFleet struct {
 	*harness.Fleet
 	t *testing.T
 	g *gomega.WithT
 }
 
-func newFleet(t *testing.T) *fleet {
-	f, err := harness.New(bin)
+// newFleet returns an empty fleet. At the end of the test its processes are killed;
+// its folder with the logs is kept if the test failed.
+func newFleet(t *testing.T) *testFleet {
+	f, err := harness.New(binDir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,48 +87,52 @@
 		if !t.Failed() {
 			_ = os.RemoveAll(f.Dir)
 		} else {
-			t.Log("logs in", f.Dir)
+			t.Log("logs kept in", f.Dir)
 		}
 	})
-	return &fleet{f, t, gomega.NewWithT(t)}
+	return &testFleet{f, t, gomega.NewWithT(t)}
 }
 
-func (f *fleet) ok(err error) {
+// noError fails the test if err is not nil.
+func (f *testFleet) noError(err error) {
 	f.t.Helper()
 	if err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-func (f *fleet) node(domain string, disk bool, extra ...string) *harness.Node {
+// startNode starts a node in a failure domain; with disk it holds a replica.
+func (f *testFleet) startNode(domain string, disk bool, extra ...string) *harness.Node {
 	f.t.Helper()
 	n, err := f.StartNode(harness.NodeSpec{Domain: domain, Disk: disk, Extra: append([]string{`replace_after = "3s"`, "replicas = 3"}, extra...)})
-	f.ok(err)
+	f.noError(err)
 	return n
 }
 
-func (f *fleet) server(n *harness.Node, service string, slots int, kinds ...string) *harness.Server {
+// startServer starts a stand-in backend server beside a node.
+func (f *testFleet) startServer(n *harness.Node, service string, slots int, kinds ...string) *harness.Server {
 	f.t.Helper()
 	s, err := f.StartServer(n, harness.ServerSpec{Service: service, Slots: slots, Connections: 4 * slots, Kinds: kinds})
-	f.ok(err)
+	f.noError(err)
 	return s
 }
 
-// three starts a replica in each of three failure domains.
-func (f *fleet) three() {
+// startThreeReplicas starts a replica in each of three failure domains and applies
+// initialSettings.
+func (f *testFleet) startThreeReplicas() {
 	f.t.Helper()
 	for _, d := range []string{"suva-a", "suva-b", "suva-c"} {
-		f.node(d, true)
+		f.startNode(d, true)
 	}
-	f.ok(f.Form(f.Nodes[0]))
-	f.voters(3)
-	_, err := f.Configure(f.Nodes[0], tree, nil)
-	f.ok(err)
+	f.noError(f.Form(f.Nodes[0]))
+	f.awaitVoters(3)
+	_, err := f.Configure(f.Nodes[0], initialSettings, nil)
+	f.noError(err)
 }
 
-// voters waits until all running replicas agree on n voters that are all
-// alive.
-func (f *fleet) voters(n int) {
+// awaitVoters waits until all running replicas report n voters in each group, all
+// of them running.
+func (f *testFleet) awaitVoters(n int) {
 	f.t.Helper()
 	f.g.Eventually(func() error {
 		ids := map[string]bool{}
@@ -161,8 +170,9 @@
 	}, 40*time.Second, 50*time.Millisecond).Should(gomega.Succeed())
 }
 
-// change makes one change at a node and returns the version.
-func (f *fleet) change(n *harness.Node, set settings.Entries) (uint64, error) {
+// changeSettings makes one settings change at a node, on the version that a quorum
+// confirms, and returns the new version. It retries on errors and conflicts.
+func (f *testFleet) changeSettings(n *harness.Node, set settings.Entries) (uint64, error) {
 	c := ctl.NewClient(n.Admin)
 	id := uuid.NewString()
 	var res node.ChangeResult
@@ -183,13 +193,14 @@
 	return res.Version, err
 }
 
-// leader returns the index of the node that leads the configuration group.
-func (f *fleet) leader(not ...int) int {
+// awaitLeader waits until a node leads the configuration group and returns its
+// index. Nodes whose index is in excluded are skipped.
+func (f *testFleet) awaitLeader(excluded ...int) int {
 	f.t.Helper()
 	found := -1
 	f.g.Eventually(func() int {
 		for i, n := range f.Nodes {
-			if n.Wait(0) || contains(not, i) {
+			if n.Wait(0) || contains(excluded, i) {
 				continue
 			}
 			s, err := n.Status()
@@ -202,6 +213,7 @@
 	return found
 }
 
+// contains reports whether i is in the slice.
 func contains(in []int, i int) bool {
 	for _, v := range in {
 		if v == i {
@@ -211,16 +223,18 @@
 	return false
 }
 
-func (f *fleet) other(i int) *harness.Node { return f.Nodes[(i+1)%len(f.Nodes)] }
+// nextNode returns the node after index i, wrapping around.
+func (f *testFleet) nextNode(i int) *harness.Node { return f.Nodes[(i+1)%len(f.Nodes)] }
 
-func (f *fleet) served(target string) {
+// awaitServed waits until every running node serves a request of the target kind.
+func (f *testFleet) awaitServed(target string) {
 	f.t.Helper()
 	f.g.Eventually(func() error {
 		for _, n := range f.Nodes {
 			if n.Wait(0) {
 				continue
 			}
-			r := load.Run(load.Options{Entries: []string{n.HTTP}, Kinds: []load.Kind{kind(target, 3*time.Second)}, Phases: []load.Phase{{Rate: 1000, For: time.Millisecond}}})
+			r := load.Run(load.Options{Entries: []string{n.HTTP}, Kinds: []load.Kind{requestKind(target, 3*time.Second)}, Phases: []load.Phase{{Rate: 1000, For: time.Millisecond}}})
 			for _, o := range r.Outcomes {
 				if !o.OK {
 					return fmt.Errorf("%s: %s", n.Name, o.Reason)
@@ -231,16 +245,18 @@
 	}, 20*time.Second, 50*time.Millisecond).Should(gomega.Succeed())
 }
 
-func kind(target string, deadline time.Duration) load.Kind {
+// requestKind returns a load of one target kind.
+func requestKind(target string, deadline time.Duration) load.Kind {
 	return load.Kind{Target: target, Share: 1, Deadline: deadline}
 }
 
-// loseDisk removes a stopped node's data folder.
-func (f *fleet) loseDisk(n *harness.Node) { f.ok(os.RemoveAll(n.Folder)) }
+// removeDataFolder simulates the loss of a stopped node's disk.
+func (f *testFleet) removeDataFolder(n *harness.Node) { f.noError(os.RemoveAll(n.Folder)) }
 
-func (f *fleet) kill(n *harness.Node) {
+// kill sends SIGKILL to a node and waits for it to exit.
+func (f *testFleet) kill(n *harness.Node) {
 	n.Signal(syscall.SIGKILL)
 	if !n.Wait(5 * time.Second) {
-		f.t.Fatal("a killed process did not end")
+		f.t.Fatal("a killed process did not exit")
 	}
 }
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -9,29 +9,31 @@
 	"github.com/umberthread/umberthread/internal/soak"
 )
 
-// soakSpan is how long faults are injected in a run of the soak here. By hand it
-// runs longer: make soak.
-const soakSpan = 8 * time.Second
+// faultDuration is how long each soak run injects faults. Longer runs: make soak.
+const faultDuration = 8 * time.Second
 
-// soakSeeds are the seeds that run here: one with most kinds of steps. Those that
-// broke a promise run for longer, by hand: soak.Failures.
+// soakSeeds are the seeds of runs without disk stalls; the plan of 102 has most kinds
+// of steps. soak.Failures lists the seeds that once broke a promise.
 var soakSeeds = []uint64{102}
 
-// stallSeeds are the seeds that run here with stalling disks.
+// stallSeeds are the seeds of runs with disk stalls.
 var stallSeeds = []uint64{8240}
 
-// TestSoakKeepsThePromises disturbs a small fleet by the plans of fixed seeds.
-func TestSoakKeepsThePromises(t *testing.T) { playSoak(t, soakSeeds, false) }
+// TestSoakKeepsThePromises injects the faults of fixed seeds into a small fleet. It
+// guards against broken promises of docs/PROOFS.md.
+func TestSoakKeepsThePromises(t *testing.T) { runSoak(t, soakSeeds, false) }
 
-// TestSoakWithStallingDisksKeepsThePromises lets the disks of replicas stall too, all the
-// time with the other steps, and then one after the other.
-func TestSoakWithStallingDisksKeepsThePromises(t *testing.T) { playSoak(t, stallSeeds, true) }
+// TestSoakWithStallingDisksKeepsThePromises adds disk stalls of the replicas,
+// during the other faults and then one replica after the other.
+func TestSoakWithStallingDisksKeepsThePromises(t *testing.T) { runSoak(t, stallSeeds, true) }
 
-func playSoak(t *testing.T, seeds []uint64, stalls bool) {
+// runSoak runs each seed and checks that no promise is broken and that more than
+// half of the attempts are served.
+func runSoak(t *testing.T, seeds []uint64, stalls bool) {
 	t.Helper()
 	g := gomega.NewWithT(t)
 	for _, seed := range seeds {
-		rep, err := soak.Run(soak.Options{Bin: bin, Seed: seed, Span: soakSpan, Stalls: stalls})
+		rep, err := soak.Run(soak.Options{Bin: binDir, Seed: seed, Span: faultDuration, Stalls: stalls})
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(rep.Broken).To(gomega.BeEmpty(), "seed %d, steps %v, logs in %s", seed, rep.Steps, rep.Folder)
 		g.Expect(rep.Served).To(gomega.BeNumerically(">", rep.Attempts/2))
--- a/e2e/traffic_test.go
+++ b/e2e/traffic_test.go
@@ -13,77 +13,78 @@
 	"github.com/umberthread/umberthread/internal/standin"
 )
 
-// underLoad sends requests of a kind, does what is to be tested two seconds
-// later, and returns what became of all requests.
-func (f *fleet) underLoad(entries []string, target string, span time.Duration, during func()) *load.Result {
+// runDuringLoad sends requests of a kind for span, calls during two seconds after
+// the start, and returns the outcomes.
+func (f *testFleet) runDuringLoad(entries []string, target string, span time.Duration, during func()) *load.Result {
 	done := make(chan *load.Result, 1)
 	go func() {
-		done <- load.Run(load.Options{Entries: entries, Kinds: []load.Kind{kind(target, 3*time.Second)}, Phases: []load.Phase{{Rate: 150, For: span}}})
+		done <- load.Run(load.Options{Entries: entries, Kinds: []load.Kind{requestKind(target, 3*time.Second)}, Phases: []load.Phase{{Rate: 150, For: span}}})
 	}()
 	time.Sleep(2 * time.Second)
 	during()
 	return <-done
 }
 
-// allServed checks that every request was served.
-func (f *fleet) allServed(r *load.Result) {
+// expectAllServed checks that every request was served.
+func (f *testFleet) expectAllServed(r *load.Result) {
 	f.t.Helper()
 	for _, o := range r.Outcomes {
 		f.g.Expect(o.OK).To(gomega.BeTrue(), o.Reason+" "+o.Detail)
 	}
 }
 
-// TestDrainingServerGetsNothingNewAndNothingIsCut drains a backend server
-// under load and then stops it.
-func TestDrainingServerGetsNothingNewAndNothingIsCut(t *testing.T) {
+// TestDrainingServerReceivesNoNewRequests drains a backend server under load. It
+// guards against requests sent to a draining server, and against failed requests.
+func TestDrainingServerReceivesNoNewRequests(t *testing.T) {
 	f := newFleet(t)
-	f.three()
-	a := f.server(f.Nodes[0], "suva/cover-desk", 16, "check=30ms", "note=30ms")
-	f.server(f.Nodes[1], "suva/cover-desk", 16, "check=30ms", "note=30ms")
-	f.served("suva/cover-desk/note")
+	f.startThreeReplicas()
+	a := f.startServer(f.Nodes[0], "suva/cover-desk", 16, "check=30ms", "note=30ms")
+	f.startServer(f.Nodes[1], "suva/cover-desk", 16, "check=30ms", "note=30ms")
+	f.awaitServed("suva/cover-desk/note")
 	var before map[string]standin.Work
-	r := f.underLoad(f.Entries(), "suva/cover-desk/note", 6*time.Second, func() {
-		f.ok(a.SetFaults(standin.Faults{State: "draining"}))
+	r := f.runDuringLoad(f.Entries(), "suva/cover-desk/note", 6*time.Second, func() {
+		f.noError(a.SetFaults(standin.Faults{State: "draining"}))
 		time.Sleep(2 * time.Second)
 		var err error
 		before, err = a.Work()
-		f.ok(err)
+		f.noError(err)
 	})
 	after, err := a.Work()
-	f.ok(err)
-	f.g.Expect(len(after)).To(gomega.Equal(len(before)), "new work two seconds after the drain")
-	f.allServed(r)
+	f.noError(err)
+	f.g.Expect(len(after)).To(gomega.Equal(len(before)), "new requests reached the backend server two seconds after the drain")
+	f.expectAllServed(r)
 }
 
-// TestPlannedStopOfANodeCutsNothing stops nodes under load.
-func TestPlannedStopOfANodeCutsNothing(t *testing.T) {
+// TestGracefulNodeStopInterruptsNoRequests stops a node under load with SIGTERM. It
+// guards against requests that fail in a planned stop.
+func TestGracefulNodeStopInterruptsNoRequests(t *testing.T) {
 	f := newFleet(t)
-	f.three()
-	extra := f.node("suva-b", false)
+	f.startThreeReplicas()
+	extra := f.startNode("suva-b", false)
 	for _, n := range f.Nodes {
-		f.server(n, "suva/cover-desk", 16, "check=30ms", "note=30ms")
+		f.startServer(n, "suva/cover-desk", 16, "check=30ms", "note=30ms")
 	}
-	f.served("suva/cover-desk/note")
-	// Callers use the nodes that stay.
-	r := f.underLoad(f.Entries()[:3], "suva/cover-desk/note", 5*time.Second, func() {
+	f.awaitServed("suva/cover-desk/note")
+	// Callers use only the nodes that keep running.
+	r := f.runDuringLoad(f.Entries()[:3], "suva/cover-desk/note", 5*time.Second, func() {
 		extra.Signal(syscall.SIGTERM)
 		f.g.Expect(extra.Wait(10 * time.Second)).To(gomega.BeTrue())
 		f.g.Expect(extra.Exit()).To(gomega.BeZero())
 	})
-	f.allServed(r)
+	f.expectAllServed(r)
 }
 
-// TestKilledNodeIsRoutedAround kills a node under load: requests that may run
-// twice are all served.
+// TestKilledNodeIsRoutedAround kills a node under load. It guards against failures
+// of idempotent requests.
 func TestKilledNodeIsRoutedAround(t *testing.T) {
 	f := newFleet(t)
-	f.three()
-	extra := f.node("suva-b", false)
+	f.startThreeReplicas()
+	extra := f.startNode("suva-b", false)
 	for _, n := range f.Nodes {
-		f.server(n, "suva/cover-desk", 16, "check=30ms", "note=30ms")
+		f.startServer(n, "suva/cover-desk", 16, "check=30ms", "note=30ms")
 	}
-	f.served("suva/cover-desk/check")
-	r := f.underLoad(f.Entries()[:3], "suva/cover-desk/check", 5*time.Second, func() { f.kill(extra) })
+	f.awaitServed("suva/cover-desk/check")
+	r := f.runDuringLoad(f.Entries()[:3], "suva/cover-desk/check", 5*time.Second, func() { f.kill(extra) })
 	failed := 0
 	for _, o := range r.Outcomes {
 		if !o.OK {
@@ -93,19 +94,19 @@
 	f.g.Expect(failed).To(gomega.BeZero())
 }
 
-// TestLodgementsRunOnceWhileNodesAreKilledAndFrozen sends keyed requests with
-// resends at all nodes while nodes are killed and frozen, and checks the count
-// at the backend servers.
-func TestLodgementsRunOnceWhileNodesAreKilledAndFrozen(t *testing.T) {
+// TestKeyedRequestsExecuteOnceDuringNodeFailures sends keyed requests with resends
+// while a node is frozen and another killed. It guards against a request that is
+// executed twice.
+func TestKeyedRequestsExecuteOnceDuringNodeFailures(t *testing.T) {
 	f := newFleet(t)
-	f.three()
-	entry := f.node("suva-a", false)
+	f.startThreeReplicas()
+	entry := f.startNode("suva-a", false)
 	var servers []*harness.Server
 	for _, n := range f.Nodes[:3] {
-		servers = append(servers, f.server(n, "suva/claims-hub", 8, "lodge=20ms", "status=1ms"))
+		servers = append(servers, f.startServer(n, "suva/claims-hub", 8, "lodge=20ms", "status=1ms"))
 	}
-	f.served("suva/claims-hub/status")
-	k := kind("suva/claims-hub/lodge", 5*time.Second)
+	f.awaitServed("suva/claims-hub/status")
+	k := requestKind("suva/claims-hub/lodge", 5*time.Second)
 	k.Keyed = true
 	k.Body = 100
 	var wg sync.WaitGroup
@@ -119,16 +120,16 @@
 	entry.Signal(syscall.SIGSTOP)
 	time.Sleep(2 * time.Second)
 	entry.Signal(syscall.SIGCONT)
-	l := f.leader()
+	l := f.awaitLeader()
 	f.kill(f.Nodes[l])
 	time.Sleep(2 * time.Second)
-	f.ok(f.Restart(f.Nodes[l]))
+	f.noError(f.Restart(f.Nodes[l]))
 	wg.Wait()
 	runs := map[string]int{}
 	total := 0
 	for _, s := range servers {
 		work, err := s.Work()
-		f.ok(err)
+		f.noError(err)
 		for id, w := range work {
 			runs[id] += w.Runs
 			total += w.Runs
@@ -136,12 +137,12 @@
 	}
 	served := 0
 	for _, o := range r.Outcomes {
-		f.g.Expect(runs[o.ID]).To(gomega.BeNumerically("<=", 1), "request %s ran %d times", o.ID, runs[o.ID])
+		f.g.Expect(runs[o.ID]).To(gomega.BeNumerically("<=", 1), "request %s was executed %d times", o.ID, runs[o.ID])
 		if o.OK {
 			served++
 			f.g.Expect(runs[o.ID]).To(gomega.Equal(1))
 		}
 	}
-	t.Logf("%d of %d lodgements served, %d executions", served, len(r.Outcomes), total)
+	t.Logf("%d of %d keyed requests served, %d executions", served, len(r.Outcomes), total)
 	f.g.Expect(served).To(gomega.BeNumerically(">", len(r.Outcomes)*8/10))
 }
