--- a/cmd/umberbench/commit.go
+++ b/cmd/umberbench/commit.go
@@ -35,7 +35,7 @@
 // commitOptions are the flags of the commit command.
 type commitOptions struct {
 	changeCount int
-	rate        float64
+	requestRate float64
 	runDuration time.Duration
 }
 
@@ -83,7 +83,7 @@
 	if err := awaitKindsServed(f, commitKinds); err != nil {
 		return err
 	}
-	for _, rate := range []float64{o.rate / 8, o.rate} {
+	for _, rate := range []float64{o.requestRate / 8, o.requestRate} {
 		r := load.Run(load.Options{Entries: f.Entries(), Kinds: commitKinds, Phases: []load.Phase{{Rate: rate, For: o.runDuration}}})
 		served := 0
 		for _, out := range r.Outcomes {
--- a/cmd/umberbench/hop.go
+++ b/cmd/umberbench/hop.go
@@ -12,7 +12,7 @@
 
 // hopOptions are the flags of the hop command.
 type hopOptions struct {
-	rate        float64
+	callRate    float64
 	runDuration time.Duration
 	rounds      int
 }
@@ -72,7 +72,7 @@
 // measureLatency sends calls to entry and returns their p50 and p99 latency. It
 // fails if any call fails.
 func measureLatency(o hopOptions, kinds []load.Kind, entry string, direct bool) ([2]time.Duration, error) {
-	r := load.Run(load.Options{Entries: []string{entry}, Kinds: kinds, Direct: direct, Phases: []load.Phase{{Rate: o.rate, For: o.runDuration}}})
+	r := load.Run(load.Options{Entries: []string{entry}, Kinds: kinds, Direct: direct, Phases: []load.Phase{{Rate: o.callRate, For: o.runDuration}}})
 	for _, out := range r.Outcomes {
 		if !out.OK {
 			return [2]time.Duration{}, fault.Newf(fault.Internal, "a call failed: %s", out.Reason)
@@ -80,6 +80,6 @@
 	}
 	// Skip the first second, in which connections are opened.
 	h := r.Latency(0, time.Second, o.runDuration)
-	us := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
-	return [2]time.Duration{us(50), us(99)}, nil
+	percentile := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
+	return [2]time.Duration{percentile(50), percentile(99)}, nil
 }
--- a/cmd/umberbench/main.go
+++ b/cmd/umberbench/main.go
@@ -27,9 +27,9 @@
 	var so surgeOptions
 	surge.Flag("policy", "Policies to run: full, static, off. Repeat for more.").Default("full", "off").EnumsVar(&so.policies, "full", "static", "off")
 	surge.Flag("times", "Demand during the surge, in times of the capacity. Repeat for more.").Default("3").Float64ListVar(&so.demandFactors)
-	surge.Flag("before", "How long before the surge, at 0.7 of the capacity.").Default("4s").DurationVar(&so.before)
-	surge.Flag("for", "How long the surge lasts.").Default("10s").DurationVar(&so.surge)
-	surge.Flag("after", "How long to watch the recovery, at 0.7 of the capacity.").Default("15s").DurationVar(&so.after)
+	surge.Flag("before", "How long before the surge, at 0.7 of the capacity.").Default("4s").DurationVar(&so.baselineDuration)
+	surge.Flag("for", "How long the surge lasts.").Default("10s").DurationVar(&so.surgeDuration)
+	surge.Flag("after", "How long to watch the recovery, at 0.7 of the capacity.").Default("15s").DurationVar(&so.recoveryDuration)
 	surge.Flag("scenario", "What happens during the surge time.").Default(scenarioSurge).EnumVar(&so.scenario, scenarioNames()...)
 	surge.Flag("out", "Folder for the table and the plots.").StringVar(&so.outputDir)
 	surge.Flag("last-line", "Print the summary line of make measure-quick.").BoolVar(&so.printSummary)
@@ -37,7 +37,7 @@
 
 	hop := app.Command("hop", "The time that two nodes on the way add to a call, against calling the backend server directly.")
 	var ho hopOptions
-	hop.Flag("rate", "Calls per second.").Default("2000").Float64Var(&ho.rate)
+	hop.Flag("rate", "Calls per second.").Default("2000").Float64Var(&ho.callRate)
 	hop.Flag("for", "How long each run lasts.").Default("8s").DurationVar(&ho.runDuration)
 	hop.Flag("rounds", "Runs of each, in turn.").Default("3").IntVar(&ho.rounds)
 	runs[hop.FullCommand()] = func() error { return runHop(*bin, ho) }
@@ -45,14 +45,14 @@
 	scale := app.Command("scale", "What a quiet fleet costs a node, and how fast settings spread, against the number of nodes.")
 	var sc scaleOptions
 	scale.Flag("size", "Number of nodes. Repeat for more.").Default("8", "16", "32", "64", "128").IntsVar(&sc.sizes)
-	scale.Flag("settle", "How long to wait after the start.").Default("20s").DurationVar(&sc.settle)
-	scale.Flag("for", "How long to watch.").Default("15s").DurationVar(&sc.observation)
+	scale.Flag("settle", "How long to wait after the start.").Default("20s").DurationVar(&sc.settleDuration)
+	scale.Flag("for", "How long to watch.").Default("15s").DurationVar(&sc.observationDuration)
 	runs[scale.FullCommand()] = func() error { return runScale(*bin, sc) }
 
 	commit := app.Command("commit", "Latency of settings changes and keyed requests with real syncs, on three replicas.")
 	var co commitOptions
 	commit.Flag("changes", "Changes to make.").Default("500").IntVar(&co.changeCount)
-	commit.Flag("rate", "Requests per second, half of them keyed.").Default("1600").Float64Var(&co.rate)
+	commit.Flag("rate", "Requests per second, half of them keyed.").Default("1600").Float64Var(&co.requestRate)
 	commit.Flag("for", "How long each rate lasts.").Default("8s").DurationVar(&co.runDuration)
 	runs[commit.FullCommand()] = func() error { return runCommit(*bin, co) }
 
--- a/cmd/umberbench/plot.go
+++ b/cmd/umberbench/plot.go
@@ -18,9 +18,9 @@
 	p.X.Label.Text = "time due, s"
 	p.Y.Label.Text = "calls per second"
 	p.Legend.Top = true
-	for i, fg := range all {
-		pts := make(plotter.XYs, len(fg.usefulCallRates))
-		for j, v := range fg.usefulCallRates {
+	for i, res := range all {
+		pts := make(plotter.XYs, len(res.usefulCallRates))
+		for j, v := range res.usefulCallRates {
 			pts[j].X = float64(j) * rateInterval.Seconds()
 			pts[j].Y = v
 		}
@@ -30,7 +30,7 @@
 		}
 		line.Color = plotutil.Color(i)
 		p.Add(line)
-		p.Legend.Add(fmt.Sprintf("%s, %gx", fg.policy, fg.demandFactor), line)
+		p.Legend.Add(fmt.Sprintf("%s, %gx", res.policy, res.demandFactor), line)
 	}
 	if err := p.Save(24*vg.Centimeter, 12*vg.Centimeter, path); err != nil {
 		return fault.Wrap(fault.Internal, err, "cannot write the plot")
--- a/cmd/umberbench/prove.go
+++ b/cmd/umberbench/prove.go
@@ -14,8 +14,8 @@
 	"github.com/umberthread/umberthread/internal/seed"
 )
 
-// fuzzedPackages are the packages with stateful property-based tests.
-var fuzzedPackages = []string{"./raft", "./confstore", "./claims", "./budget", "./admission", "./gossip", "./route", "./settings"}
+// propertyTestPackages are the packages with stateful property-based tests.
+var propertyTestPackages = []string{"./raft", "./confstore", "./claims", "./budget", "./admission", "./gossip", "./route", "./settings"}
 
 // casesPerTest is the number of cases that each test runs for one seed.
 const casesPerTest = 400
@@ -31,22 +31,22 @@
 	for time.Now().Before(deadline) {
 		s := rand.Uint64N(1 << 62)
 		seeds++
-		n, out, err := runFuzzTests(s)
+		n, out, err := runPropertyTests(s)
 		cases += n
 		fmt.Printf("seed %d: %d cases\n", s, n)
 		if err != nil {
 			fmt.Println(out)
-			return fault.Newf(fault.Internal, "seed %d fails; repeat with %s=%d go test %s", s, seed.Variable, s, strings.Join(fuzzedPackages, " "))
+			return fault.Newf(fault.Internal, "seed %d fails; repeat with %s=%d go test %s", s, seed.Variable, s, strings.Join(propertyTestPackages, " "))
 		}
 	}
 	fmt.Printf("prove: seeds=%d cases=%d failures=0\n", seeds, cases)
 	return nil
 }
 
-// runFuzzTests runs the stateful tests with one seed and returns the number of
+// runPropertyTests runs the stateful tests with one seed and returns the number of
 // cases passed and the output.
-func runFuzzTests(s uint64) (int, string, error) {
-	args := append([]string{"test", "-count=1", "-v"}, fuzzedPackages...)
+func runPropertyTests(s uint64) (int, string, error) {
+	args := append([]string{"test", "-count=1", "-v"}, propertyTestPackages...)
 	args = append(args, "-rapid.checks="+strconv.Itoa(casesPerTest), "-rapid.nofailfile")
 	cmd := exec.Command("go", args...)
 	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%d", seed.Variable, s))
--- a/cmd/umberbench/scale.go
+++ b/cmd/umberbench/scale.go
@@ -20,8 +20,8 @@
 // scaleOptions are the flags of the scale command: the fleet sizes, the wait
 // after each start and the time of observation.
 type scaleOptions struct {
-	sizes               []int
-	settle, observation time.Duration
+	sizes                               []int
+	settleDuration, observationDuration time.Duration
 }
 
 // resourceUsage is the processor time, control traffic in both directions and
@@ -61,12 +61,12 @@
 	if err := awaitMembers(f, size); err != nil {
 		return err
 	}
-	time.Sleep(o.settle)
+	time.Sleep(o.settleDuration)
 	before, err := totalUsage(f)
 	if err != nil {
 		return err
 	}
-	time.Sleep(o.observation)
+	time.Sleep(o.observationDuration)
 	after, err := totalUsage(f)
 	if err != nil {
 		return err
@@ -76,15 +76,15 @@
 		return err
 	}
 	nodes := float64(size)
-	cpu := (after.cpu - before.cpu).Seconds() / nodes / o.observation.Seconds()
+	cpu := (after.cpu - before.cpu).Seconds() / nodes / o.observationDuration.Seconds()
 	fmt.Printf("%5d  %7.2f%%  %10.0f B/s  %14.1f MB  %18s  %12s\n", size, 100*cpu,
-		float64(after.controlBytes-before.controlBytes)/nodes/o.observation.Seconds(), float64(after.rssBytes)/nodes/(1<<20),
+		float64(after.controlBytes-before.controlBytes)/nodes/o.observationDuration.Seconds(), float64(after.rssBytes)/nodes/(1<<20),
 		activations[len(activations)/2].Round(time.Millisecond), activations[len(activations)-1].Round(time.Millisecond))
 	return nil
 }
 
-// awaitMembers waits until every node sees as many members as its failure domain
-// has at least.
+// awaitMembers waits until every node sees at least size/len(kigaliDomains)
+// members.
 func awaitMembers(f *harness.Fleet, size int) error {
 	want := size / len(kigaliDomains)
 	return harness.Await(60*time.Second, func() error {
--- a/cmd/umberbench/surge.go
+++ b/cmd/umberbench/surge.go
@@ -32,12 +32,12 @@
 
 // surgeOptions are the flags of the surge command.
 type surgeOptions struct {
-	policies             []string
-	demandFactors        []float64
-	before, surge, after time.Duration
-	scenario             string
-	outputDir            string
-	printSummary         bool
+	policies                                          []string
+	demandFactors                                     []float64
+	baselineDuration, surgeDuration, recoveryDuration time.Duration
+	scenario                                          string
+	outputDir                                         string
+	printSummary                                      bool
 }
 
 const (
@@ -87,8 +87,8 @@
 }
 
 // surgeResult holds the measured values of one run. Goodput is the ratio of useful
-// rosters calls to the lower of capacity and demand; amplification counts the
-// nodes' retries only.
+// rosters calls to the lower of capacity and demand. Amplification counts the
+// retries by nodes, not the resends by callers.
 type surgeResult struct {
 	policy          string
 	scenario        string
@@ -113,13 +113,13 @@
 	var all []surgeResult
 	for _, demandFactor := range o.demandFactors {
 		for _, policy := range o.policies {
-			fg, err := runSurgeOnce(bin, o, policy, demandFactor)
+			res, err := runSurgeOnce(bin, o, policy, demandFactor)
 			if err != nil {
 				return err
 			}
-			all = append(all, *fg)
+			all = append(all, *res)
 			fmt.Printf("%s policy=%s times=%g goodput=%.2f protected=%.3f calm=%.3f amplification=%.2f wasted=%.2f recovery=%s p50=%s p99=%s p99.9=%s refusal_p99=%s wrong=%d\n",
-				fg.scenario, policy, demandFactor, fg.goodput, fg.protectedServed, fg.baselineServed, fg.amplification, fg.wastedShare, fg.recoveryText(), fg.p50, fg.p99, fg.p999, fg.refusalP99, fg.wrongResponses)
+				res.scenario, policy, demandFactor, res.goodput, res.protectedServed, res.baselineServed, res.amplification, res.wastedShare, res.recoveryText(), res.p50, res.p99, res.p999, res.refusalP99, res.wrongResponses)
 		}
 	}
 	if o.outputDir != "" {
@@ -128,15 +128,15 @@
 		}
 	}
 	if o.printSummary {
-		full, base := resultOfPolicy(all, "full"), resultOfPolicy(all, "off")
+		full, base := resultForPolicy(all, "full"), resultForPolicy(all, "off")
 		fmt.Printf("measure: goodput=%.2f baseline=%.2f recovery_s=%s baseline_recovery_s=%s amplification=%.2f wasted=%.2f\n",
 			full.goodput, base.goodput, full.recoveryText(), base.recoveryText(), full.amplification, full.wastedShare)
 	}
 	return nil
 }
 
-// resultOfPolicy returns the first result with the policy, or a zero result.
-func resultOfPolicy(all []surgeResult, policy string) surgeResult {
+// resultForPolicy returns the first result with the policy, or a zero result.
+func resultForPolicy(all []surgeResult, policy string) surgeResult {
 	for _, f := range all {
 		if f.policy == policy {
 			return f
@@ -145,21 +145,21 @@
 	return surgeResult{}
 }
 
-// recoveryText formats the recovery time in seconds, or "never".
-func (f *surgeResult) recoveryText() string {
-	if !f.recovered {
+// recoveryText formats the recovery time in seconds, or returns "never".
+func (res *surgeResult) recoveryText() string {
+	if !res.recovered {
 		return "never"
 	}
-	return fmt.Sprintf("%.1f", f.recovery.Seconds())
+	return fmt.Sprintf("%.1f", res.recovery.Seconds())
 }
 
 // runSurgeOnce measures one policy and demand factor on a fleet of its own.
-func runSurgeOnce(bin string, o surgeOptions, policy string, demandFactor float64) (fg *surgeResult, err error) {
+func runSurgeOnce(bin string, o surgeOptions, policy string, demandFactor float64) (res *surgeResult, err error) {
 	err = withFleet(bin, func(f *harness.Fleet) error {
-		fg, err = measureSurge(f, o, policy, demandFactor)
+		res, err = measureSurge(f, o, policy, demandFactor)
 		return err
 	})
-	return fg, err
+	return res, err
 }
 
 // measureSurge starts the services, sends the load of the scenario and evaluates
@@ -190,9 +190,9 @@
 	r := load.Run(load.Options{
 		Entries: f.Entries(), Kinds: kinds, Resends: 8, Pause: 50 * time.Millisecond,
 		Phases: []load.Phase{
-			{Rate: base * baselineLoad, For: o.before},
-			{Rate: demand, For: o.surge, Start: func() { go applyScenario(f, o.scenario, true) }},
-			{Rate: base * baselineLoad, For: o.after, Start: func() { go applyScenario(f, o.scenario, false) }},
+			{Rate: base * baselineLoad, For: o.baselineDuration},
+			{Rate: demand, For: o.surgeDuration, Start: func() { go applyScenario(f, o.scenario, true) }},
+			{Rate: base * baselineLoad, For: o.recoveryDuration, Start: func() { go applyScenario(f, o.scenario, false) }},
 		},
 	})
 	return evaluateRun(f, o, policy, demandFactor, r)
@@ -254,9 +254,9 @@
 
 // requestCounts counts requests before and during the surge, and those served.
 type requestCounts struct {
-	usefulCalls, demandedCalls float64
-	protected, protectedServed int
-	baseline, baselineServed   int
+	usefulCalls, demandedCalls      float64
+	protectedTotal, protectedServed int
+	baselineTotal, baselineServed   int
 }
 
 // add counts one request by its due time; from and to bound the surge.
@@ -268,13 +268,13 @@
 	}
 	switch {
 	case out.Due < from:
-		t.baseline++
+		t.baselineTotal++
 		t.baselineServed += ok
 	case out.Due < to:
 		t.demandedCalls += float64(k.rostersCalls)
 		t.usefulCalls += float64(ok * k.rostersCalls)
 		if k.protected {
-			t.protected++
+			t.protectedTotal++
 			t.protectedServed += ok
 		}
 	}
@@ -286,36 +286,36 @@
 // evaluateRun computes the result of a run from its outcomes and the fleet's
 // counters.
 func evaluateRun(f *harness.Fleet, o surgeOptions, policy string, demandFactor float64, r *load.Result) (*surgeResult, error) {
-	fg := &surgeResult{policy: policy, scenario: o.scenario, demandFactor: demandFactor}
-	from, to := o.before, o.before+o.surge
+	res := &surgeResult{policy: policy, scenario: o.scenario, demandFactor: demandFactor}
+	from, to := o.baselineDuration, o.baselineDuration+o.surgeDuration
 	var t requestCounts
 	for i := range r.Outcomes {
 		t.add(&r.Outcomes[i], from, to)
 		if r.Outcomes[i].Wrong {
-			fg.wrongResponses++
+			res.wrongResponses++
 		}
 	}
-	capacity := rostersCapacity() * capacityShare(o.scenario) * o.surge.Seconds()
-	fg.goodput = t.usefulCalls / min(capacity, t.demandedCalls)
-	fg.baselineServed = ratio(t.baselineServed, t.baseline)
-	fg.protectedServed = ratio(t.protectedServed, t.protected)
-	if err := fg.measureWorkAndRetries(f, r); err != nil {
+	capacity := rostersCapacity() * capacityShare(o.scenario) * o.surgeDuration.Seconds()
+	res.goodput = t.usefulCalls / min(capacity, t.demandedCalls)
+	res.baselineServed = ratio(t.baselineServed, t.baselineTotal)
+	res.protectedServed = ratio(t.protectedServed, t.protectedTotal)
+	if err := res.measureWorkAndRetries(f, r); err != nil {
 		return nil, err
 	}
-	fg.usefulCallRates = usefulCallRates(r)
-	fg.measureRecovery(r, to)
+	res.usefulCallRates = usefulCallRates(r)
+	res.measureRecovery(r, to)
 	h := r.Latency(-1, from, to)
-	fg.p50 = time.Duration(h.ValueAtQuantile(50)) * time.Microsecond
-	fg.p99 = time.Duration(h.ValueAtQuantile(99)) * time.Microsecond
-	fg.p999 = time.Duration(h.ValueAtQuantile(99.9)) * time.Microsecond
-	fg.refusalP99 = refusalP99(r)
-	return fg, nil
+	res.p50 = time.Duration(h.ValueAtQuantile(50)) * time.Microsecond
+	res.p99 = time.Duration(h.ValueAtQuantile(99)) * time.Microsecond
+	res.p999 = time.Duration(h.ValueAtQuantile(99.9)) * time.Microsecond
+	res.refusalP99 = refusalP99(r)
+	return res, nil
 }
 
 // measureWorkAndRetries sets the share of backend server work spent on requests
-// that failed, and the amplification by the nodes' retries. Servers that have
-// exited are left out.
-func (fg *surgeResult) measureWorkAndRetries(f *harness.Fleet, r *load.Result) error {
+// that failed, and the amplification by the nodes' retries. The work of servers
+// that have exited is left out.
+func (res *surgeResult) measureWorkAndRetries(f *harness.Fleet, r *load.Result) error {
 	ok := map[string]bool{}
 	for _, out := range r.Outcomes {
 		ok[out.ID] = out.OK
@@ -340,7 +340,7 @@
 		}
 	}
 	if total > 0 {
-		fg.wastedShare = wasted / total
+		res.wastedShare = wasted / total
 	}
 	var calls, retries int64
 	for _, n := range f.Nodes {
@@ -351,7 +351,7 @@
 		calls += st.Calls
 		retries += st.Retries
 	}
-	fg.amplification = 1 + float64(retries)/float64(max(1, calls))
+	res.amplification = 1 + float64(retries)/float64(max(1, calls))
 	return nil
 }
 
@@ -372,8 +372,9 @@
 }
 
 // measureRecovery sets the time after end from which at least 95% of the requests
-// are served until the end of the run.
-func (fg *surgeResult) measureRecovery(r *load.Result, end time.Duration) {
+// are served until the end of the run, and whether that is at least three
+// intervals before the last.
+func (res *surgeResult) measureRecovery(r *load.Result, end time.Duration) {
 	type bin struct{ due, ok int }
 	bins := map[int]*bin{}
 	last := 0
@@ -406,8 +407,8 @@
 		}
 		recovered = at
 	}
-	fg.recovery = time.Duration(recovered) * rateInterval
-	fg.recovered = recovered <= last-3
+	res.recovery = time.Duration(recovered) * rateInterval
+	res.recovered = recovered <= last-3
 }
 
 // refusalP99 returns the p99 latency of the refusals.
@@ -432,9 +433,9 @@
 	}
 	w := tabwriter.NewWriter(f, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "SCENARIO\tTIMES\tPOLICY\tGOODPUT\tPROTECTED SERVED\tAMPLIFICATION\tWASTED\tRECOVERY S\tP50\tP99\tP99.9\tREFUSAL P99")
-	for _, fg := range all {
-		_, _ = fmt.Fprintf(w, "%s\t%g\t%s\t%.2f\t%.3f\t%.2f\t%.2f\t%s\t%s\t%s\t%s\t%s\n", fg.scenario, fg.demandFactor, fg.policy, fg.goodput,
-			fg.protectedServed, fg.amplification, fg.wastedShare, fg.recoveryText(), fg.p50, fg.p99, fg.p999, fg.refusalP99)
+	for _, res := range all {
+		_, _ = fmt.Fprintf(w, "%s\t%g\t%s\t%.2f\t%.3f\t%.2f\t%.2f\t%s\t%s\t%s\t%s\t%s\n", res.scenario, res.demandFactor, res.policy, res.goodput,
+			res.protectedServed, res.amplification, res.wastedShare, res.recoveryText(), res.p50, res.p99, res.p999, res.refusalP99)
 	}
 	if err := w.Flush(); err != nil {
 		return fault.Wrap(fault.Internal, err, "cannot write the table")
--- a/cmd/umberload/main.go
+++ b/cmd/umberload/main.go
@@ -17,7 +17,7 @@
 	entries := app.Flag("entry", "HTTP address of a node. Repeat for more.").Required().Strings()
 	targets := app.Flag("target", "fleet/service/kind. Repeat for an even mix.").Required().Strings()
 	rate := app.Flag("rate", "Requests per second.").Default("100").Float64()
-	span := app.Flag("for", "How long to send.").Default("10s").Duration()
+	duration := app.Flag("for", "How long to send.").Default("10s").Duration()
 	deadline := app.Flag("deadline", "How long a caller waits.").Default("2s").Duration()
 	body := app.Flag("body", "Bytes in each request.").Default("500").Int()
 	resends := app.Flag("resends", "How often a caller sends a failed request again.").Default("0").Int()
@@ -30,7 +30,7 @@
 	for _, t := range *targets {
 		o.Kinds = append(o.Kinds, load.Kind{Target: t, Share: 1 / float64(len(*targets)), Deadline: *deadline, Body: *body, Keyed: *keyed})
 	}
-	o.Phases = []load.Phase{{Rate: *rate, For: *span}}
+	o.Phases = []load.Phase{{Rate: *rate, For: *duration}}
 	printResult(load.Run(o))
 }
 
@@ -47,8 +47,8 @@
 		}
 	}
 	h := r.Latency(-1, 0, time.Hour)
-	us := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
-	fmt.Printf("sent=%d served=%d p50=%s p99=%s p99.9=%s\n", len(r.Outcomes), served, us(50), us(99), us(99.9))
+	percentile := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
+	fmt.Printf("sent=%d served=%d p50=%s p99=%s p99.9=%s\n", len(r.Outcomes), served, percentile(50), percentile(99), percentile(99.9))
 	for reason, n := range reasons {
 		fmt.Printf("  %s: %d\n", reason, n)
 	}
