--- a/cmd/umberctl/main.go
+++ b/cmd/umberctl/main.go
@@ -97,7 +97,8 @@
 	return ch
 }
 
-// addInspectionCommands adds the commands that only read the fleet's state.
+// addInspectionCommands adds the commands that print the state of the fleet and of
+// requests, and the program's settings and state charts.
 func (c *cli) addInspectionCommands() {
 	status := c.app.Command("status", "Print the state of all nodes.")
 	c.actions[status.FullCommand()] = func(o ctl.Out) error { return ctl.StatusOf(o, *c.nodes) }
--- a/e2e/state_test.go
+++ b/e2e/state_test.go
@@ -138,8 +138,9 @@
 	f.g.Expect(string(log)).To(gomega.ContainSubstring("The data folder is damaged and set aside"))
 }
 
-// retryChange sends a change until it no longer fails for lack of a quorum. All
-// attempts carry the same id, so the change is applied at most once.
+// retryChange sends a change until it no longer fails for lack of a quorum, which a
+// slow disk sync can cause. All attempts carry the same id, so the change is applied
+// at most once.
 func (f *testFleet) retryChange(c *ctl.Client, req node.ChangeRequest) node.ChangeResult {
 	var res node.ChangeResult
 	var err error
