--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -87,15 +87,16 @@
 	State                 string        `json:"state"`
 	Members               int           `json:"members"`
 	InFlight              int64         `json:"in_flight"`
-	// Served counts the answered requests from callers and from the node's backend
-	// server.
+	// Served counts the requests of callers and of the node's backend server that received
+	// a complete response.
 	Served int64 `json:"served"`
-	// Calls counts the calls that were sent, and Retries those that were resent.
+	// Calls counts the calls for which an attempt was made, nested ones included, and
+	// Retries their further attempts.
 	Calls   int64 `json:"calls"`
 	Retries int64 `json:"retries"`
 	// Refusals counts the refusals by reason.
 	Refusals map[string]int64 `json:"refusals"`
-	// BrokenResponses counts responses that broke off before their end.
+	// BrokenResponses counts responses that could not be sent completely.
 	BrokenResponses int64 `json:"cut_off_answers"`
 	// SilentConnections counts connections to other nodes that were found unresponsive.
 	SilentConnections int64        `json:"silent_connections"`
@@ -103,10 +104,11 @@
 	// Dropped counts the items dropped by full queues, by queue.
 	Dropped map[string]int64 `json:"dropped"`
 	Replica *ReplicaStatus   `json:"replica,omitempty"`
-	// Quarantined are the requests that are refused because they crash backend
-	// servers.
+	// Quarantined are the fingerprints of requests that are refused because similar ones
+	// terminated backend servers.
 	Quarantined []QuarantineStatus `json:"quarantined,omitempty"`
-	Domains     map[string]bool    `json:"domains_reachable"`
+	// Domains reports for each other failure domain whether it is reachable.
+	Domains map[string]bool `json:"domains_reachable"`
 }
 
 // BackendStatus is the state of a node's backend server and its admission gate.
@@ -120,7 +122,8 @@
 	Level    int    `json:"level"`
 }
 
-// ControlBytes counts the bytes of control messages since the start of the node.
+// ControlBytes counts the bytes of gossip packets and control connections since the
+// start of the node.
 type ControlBytes struct {
 	In  int64 `json:"in"`
 	Out int64 `json:"out"`
@@ -143,8 +146,8 @@
 	ToleratesFailure bool  `json:"bears_loss"`
 	RepairMs         int64 `json:"repair_ms,omitempty"`
 	// SavingMs is how long the save in progress on this replica has taken, in
-	// milliseconds. Stalled reports, on the leader, whether too few disks answer for a
-	// change to be accepted.
+	// milliseconds. Stalled reports, on the leader, whether too few disks respond for
+	// a change to be accepted.
 	SavingMs int64    `json:"saving_ms,omitempty"`
 	Stalled  bool     `json:"stalled,omitempty"`
 	Voters   []string `json:"voters"`
@@ -176,8 +179,8 @@
 	for _, g := range n.replicas.groups {
 		d["replica_inbox"] += g.inbox.Dropped()
 	}
-	for sort, v := range n.requestLog.skippedLines() {
-		d["log_"+sort] = v
+	for category, v := range n.requestLog.skippedLines() {
+		d["log_"+category] = v
 	}
 	n.replicas.mu.Lock()
 	defer n.replicas.mu.Unlock()
--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -44,7 +44,7 @@
 	Sequence uint64 `json:"sequence,omitempty"`
 }
 
-// AnnouncementReply is the answer to an Announcement.
+// AnnouncementReply is the response to an Announcement.
 type AnnouncementReply struct {
 	// LeaseMs is how long the announcement is valid, in milliseconds.
 	LeaseMs int64 `json:"lease_ms"`
@@ -163,7 +163,7 @@
 }
 
 // closeEarlierIncarnation closes the connections of an earlier incarnation. If the new
-// one has the same address, the earlier one cannot answer any more and its requests
+// one has the same address, the earlier one cannot respond any more and its requests
 // fail at once.
 func closeEarlierIncarnation(old *localBackend, a *Announcement) {
 	if old.client.Addr() == a.Address {
--- a/internal/node/call.go
+++ b/internal/node/call.go
@@ -28,7 +28,7 @@
 	target     string
 	service    string
 	rank       rank.Rank
-	// depth is 0 for a request that entered at this node, and grows with each nested call.
+	// depth is 0 for a request that a caller sent, and grows with each nested call.
 	depth uint8
 	// fromRetry is set if the call descends from an attempt that was itself a retry.
 	fromRetry bool
@@ -71,7 +71,7 @@
 	brokenAttempts int
 	// mayHaveExecuted is set if any attempt may have been executed by a backend server.
 	mayHaveExecuted bool
-	// callerLeft is set when the caller closed its connection. A call that is canceled because
+	// callerLeft is set when the caller has closed its connection. A call that is canceled because
 	// its parent ended still gets a response.
 	callerLeft atomic.Bool
 	started    time.Time
--- a/internal/node/chain_test.go
+++ b/internal/node/chain_test.go
@@ -33,10 +33,10 @@
 // startChainNodes does the same as startChain and returns all four nodes.
 func startChainNodes(t testing.TB) (nodes []*testNode, servers []*standin.Server) {
 	first := startNode(t, "nyarugenge", nil, nil)
-	boot := []string{first.opt.Control}
-	second := startNode(t, "kicukiro", boot, nil)
-	third := startNode(t, "gasabo", boot, nil)
-	entry := startNode(t, "remera", boot, nil)
+	bootstrap := []string{first.opt.Control}
+	second := startNode(t, "kicukiro", bootstrap, nil)
+	third := startNode(t, "gasabo", bootstrap, nil)
+	entry := startNode(t, "remera", bootstrap, nil)
 	useSettings(t, chainSettings, first, second, third, entry)
 	servers = []*standin.Server{
 		startStandin(t, first, "kigali/sheets", 16, map[string]standin.Kind{
--- a/internal/node/comeback_test.go
+++ b/internal/node/comeback_test.go
@@ -13,20 +13,20 @@
 )
 
 // A caller refused for overload must be told to retry within half of its latency
-// objective, at any admission level; without an instance, only once one may be back.
+// objective, at any admission level; without an instance, after at least a second.
 func TestRetryAfterIsBoundedByObjective(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, objective := range []time.Duration{150 * time.Millisecond, 1500 * time.Millisecond, time.Minute} {
 		c := &call{policy: &settings.Policy{ObjectiveWithin: objective}}
 		for level := rank.Level(0); level < rank.Count; level += 64 {
 			for range 50 {
-				back := c.refusal(fault.Overload, "", level).RetryAfter
-				g.Expect(back).To(gomega.BeNumerically(">", 0))
-				g.Expect(back).To(gomega.BeNumerically("<=", objective/2))
-				g.Expect(back).To(gomega.BeNumerically("<=", 3*retry.MaxRetryAfter/2))
+				retryAfter := c.refusal(fault.Overload, "", level).RetryAfter
+				g.Expect(retryAfter).To(gomega.BeNumerically(">", 0))
+				g.Expect(retryAfter).To(gomega.BeNumerically("<=", objective/2))
+				g.Expect(retryAfter).To(gomega.BeNumerically("<=", 3*retry.MaxRetryAfter/2))
 			}
 		}
-		away := c.refusal(fault.NoBackend, "", rank.Count/2).RetryAfter
-		g.Expect(away).To(gomega.BeNumerically(">=", time.Second))
+		retryAfterNoInstance := c.refusal(fault.NoBackend, "", rank.Count/2).RetryAfter
+		g.Expect(retryAfterNoInstance).To(gomega.BeNumerically(">=", time.Second))
 	}
 }
--- a/internal/node/deadline_test.go
+++ b/internal/node/deadline_test.go
@@ -43,13 +43,13 @@
 	g := gomega.NewWithT(t)
 	n := startNode(t, "a", nil, nil)
 	useSettings(t, "[fleet.f.service.s]\n[fleet.f.service.s.kind.k]\ndeadline = \"300ms\"\n", n)
-	mute := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	unresponsive := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 	}))
-	defer mute.Close()
-	defer mute.CloseClientConnections()
-	ferr := n.Announce(&Announcement{Service: "f/s", Address: mute.Listener.Addr().String(), Slots: 8, Connections: 32, State: "serving"})
+	defer unresponsive.Close()
+	defer unresponsive.CloseClientConnections()
+	ferr := n.Announce(&Announcement{Service: "f/s", Address: unresponsive.Listener.Addr().String(), Slots: 8, Connections: 32, State: "serving"})
 	g.Expect(ferr).To(gomega.BeNil())
 	n.awaitInstances("f/s", 1)
 	for range 10 {
--- a/internal/node/document.go
+++ b/internal/node/document.go
@@ -43,7 +43,7 @@
 
 // ReplaceSettings replaces the active document. The result's Code is Conflict if the
 // active revision is not the one that the document is based on. The error's Run is
-// RunNo only if the document was certainly not accepted.
+// fault.NotExecuted only if the document was certainly not accepted.
 func (n *Node) ReplaceSettings(r *Replacement, wait time.Duration) (confstore.Result, *fault.Error) {
 	deadline := time.Now().Add(wait)
 	uncertain := false
@@ -77,7 +77,7 @@
 func (n *Node) awaitVersion(version uint64, deadline time.Time) {
 	const pollInterval = 5 * time.Millisecond
 	if addr := n.replicas.leaderAddr(configGroup); addr != "" && addr != n.opt.AdvertiseControl {
-		n.gossip.observeVersion(viaReplicaAnswer, addr, version)
+		n.gossip.observeVersion(viaReplicaResponse, addr, version)
 	}
 	for n.conf.Load().version < version && time.Now().Before(deadline) {
 		time.Sleep(pollInterval)
--- a/internal/node/edge.go
+++ b/internal/node/edge.go
@@ -104,12 +104,12 @@
 	return c, nil
 }
 
-// executionOf returns the execution with a token on the local backend server, or nil.
-func (n *Node) executionOf(id string) *execution {
-	if id == "" {
+// executionOf returns the execution with the given token on the local backend server, or nil.
+func (n *Node) executionOf(token string) *execution {
+	if token == "" {
 		return nil
 	}
-	v, ok := n.executionsByToken.Load(id)
+	v, ok := n.executionsByToken.Load(token)
 	if !ok {
 		return nil
 	}
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -149,7 +149,7 @@
 const maxIDLen = 128
 
 // attachToParent makes the call a nested call of the execution with the given token. It
-// returns a Canceled error if that execution has ended.
+// returns a Canceled error if there is no such execution (any more).
 func (n *Node) attachToParent(c *call, token string) *fault.Error {
 	w := n.executionOf(token)
 	if w == nil {
--- a/internal/node/fetch_test.go
+++ b/internal/node/fetch_test.go
@@ -15,13 +15,13 @@
 // too.
 func TestSettingsFetchSkipsUnresponsiveNode(t *testing.T) {
 	g := gomega.NewWithT(t)
-	mute, err := net.Listen("tcp", "127.0.0.1:0")
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	defer func() { _ = mute.Close() }()
+	defer func() { _ = unresponsive.Close() }()
 	behindNode, ahead := startNode(t, "a", nil, nil), startNode(t, "a", nil, nil)
 	ahead.applyDocument(7, settings.Entries{"#deadline": "4s"})
 	began := time.Now()
-	behindNode.gossip.observeVersion(viaPacket, mute.Addr().String(), 7)
+	behindNode.gossip.observeVersion(viaPacket, unresponsive.Addr().String(), 7)
 	behindNode.gossip.observeVersion(viaPacket, ahead.opt.Control, 7)
 	g.Eventually(func() uint64 { return behindNode.conf.Load().version }, 5*time.Second, 5*time.Millisecond).Should(gomega.Equal(uint64(7)))
 	g.Expect(time.Since(began)).To(gomega.BeNumerically("<", time.Second))
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -20,7 +20,7 @@
 	"github.com/umberthread/umberthread/settings"
 )
 
-// runtimeRand implements route.Rand by the runtime's per-thread generator, which takes no
+// runtimeRand implements route.Rand with the runtime's per-thread generator, which takes no
 // lock.
 type runtimeRand struct{}
 
@@ -43,19 +43,19 @@
 		return nil, ferr
 	}
 	if c.depth > 0 {
-		waits, ok := n.acquireBulkhead(c)
+		bulkhead, ok := n.acquireBulkhead(c)
 		if !ok {
 			return nil, c.refusal(fault.ShareSpent, "too many requests on this node are waiting for this service", rank.Count/4)
 		}
-		defer waits.Release()
+		defer bulkhead.Release()
 		defer c.parent.finishedCalls.Add(1)
 	}
 	n.stats.firstAttempts.Add(1)
-	retryShare, limits := n.retryThrottle(c.service), retryLimits(c.policy)
+	throttle, limits := n.retryThrottle(c.service), retryLimits(c.policy)
 	if c.fromRetry {
-		retryShare.RecordRetry(n.clock(), limits)
+		throttle.RecordRetry(n.clock(), limits)
 	} else {
-		retryShare.RecordFirstAttempt(n.clock(), limits)
+		throttle.RecordFirstAttempt(n.clock(), limits)
 	}
 	for {
 		resp, in, ferr := n.attempt(c)
@@ -70,7 +70,7 @@
 		if ferr == nil && !n.isRetryableResponse(c, resp) {
 			return n.unwrapRefusal(c, resp)
 		}
-		if !n.reserveRetry(c, in, ferr, retryShare) {
+		if !n.reserveRetry(c, in, ferr, throttle) {
 			if ferr == nil {
 				return n.unwrapRefusal(c, resp)
 			}
@@ -98,7 +98,8 @@
 	return code == fault.Rejected || code == fault.Overload || code == fault.QueueTimeout
 }
 
-// retryLimits returns the limits on a service's share of retries.
+// retryLimits returns the limits on retries of calls to a service, as a share of the first
+// attempts.
 func retryLimits(p *settings.Policy) budget.Limits {
 	return budget.Limits{Ratio: p.RetryRatio, Window: p.RetryWindow, Burst: p.RetryBurst}
 }
@@ -122,7 +123,7 @@
 		return resp, nil
 	}
 	if n.opt.HTTPAdapter != nil {
-		// The platform's callers get the backend server's own answer.
+		// The platform's callers get the backend server's own response.
 		if c.parent != nil {
 			c.parent.nestedCallFailed.Store(true)
 		}
@@ -177,8 +178,9 @@
 // budget.
 const baselineRetries = 3
 
-// reserveRetry decides whether a failed call is retried, and charges the retry to the budgets.
-func (n *Node) reserveRetry(c *call, in *route.Instance, e *fault.Error, retries *budget.Throttle) bool {
+// reserveRetry decides whether a failed call is retried, and takes the retry from the
+// budgets if it is to be charged.
+func (n *Node) reserveRetry(c *call, in *route.Instance, e *fault.Error, throttle *budget.Throttle) bool {
 	if c.scope.Err() != fault.None {
 		return false
 	}
@@ -194,19 +196,19 @@
 		c.unchargedRetries++
 		return true
 	case retry.RetryCharged:
-		return n.spendRetry(c, retries)
+		return n.spendRetry(c, throttle)
 	default:
 		return false
 	}
 }
 
-// spendRetry takes a retry from the call's retry budget and from the service's share of
-// retries; false if either is exhausted.
-func (n *Node) spendRetry(c *call, retries *budget.Throttle) bool {
+// spendRetry takes a retry from the call's retry budget and from the service's throttle; false
+// if either is exhausted.
+func (n *Node) spendRetry(c *call, throttle *budget.Throttle) bool {
 	if !c.retryBudget.TrySpend() {
 		return false
 	}
-	if !retries.AllowRetry(n.clock(), c.rank, retryLimits(c.policy)) {
+	if !throttle.AllowRetry(n.clock(), c.rank, retryLimits(c.policy)) {
 		c.retryBudget.SettleLease(1, 0)
 		return false
 	}
@@ -238,7 +240,8 @@
 	return c.offeredTo
 }
 
-// attempt sends the call to one instance and records the result for routing.
+// attempt sends the call to one instance and records the outcome for routing. The instance is
+// nil if none accepts the call.
 func (n *Node) attempt(c *call) (*response, *route.Instance, *fault.Error) {
 	c.attempts++
 	now := n.clock()
@@ -256,9 +259,9 @@
 	in.Observed.Begin()
 	if in.ID == n.id {
 		resp, ferr := n.runOnLocalBackend(c, c.retryBudget)
-		report := n.localAttemptReport(resp, ferr)
-		n.pathLevelsFor(c).Observe(c.rootTarget, c.service, n.maxLevelBelow(c, report.Level), n.clock())
-		in.Observed.End(n.clock(), report, n.ejectOptions(c))
+		outcome := n.localAttemptOutcome(resp, ferr)
+		n.pathLevelsFor(c).Observe(c.rootTarget, c.service, n.maxLevelBelow(c, outcome.Level), n.clock())
+		in.Observed.End(n.clock(), outcome, n.ejectOptions(c))
 		return resp, in, ferr
 	}
 	resp, ferr := n.sendToPeer(c, in, now)
@@ -301,8 +304,9 @@
 	return route.EjectOptions{Failures: c.policy.EjectFailures, Time: c.policy.EjectTime}
 }
 
-// localAttemptReport returns the routing report on an attempt at the local backend server.
-func (n *Node) localAttemptReport(resp *response, e *fault.Error) route.Outcome {
+// localAttemptOutcome returns the outcome of an attempt at the local backend server for
+// routing.
+func (n *Node) localAttemptOutcome(resp *response, e *fault.Error) route.Outcome {
 	load := n.gate.load()
 	r := route.Outcome{HasLoad: true, Level: load.level, InFlight: uint16(load.inflight), Limit: uint16(load.limit)}
 	r.Failed = isInstanceFailure(resp, e)
@@ -339,11 +343,11 @@
 	if err != nil {
 		c.retryBudget.ForfeitLease(lease)
 		ferr := fault.From(err)
-		report := route.Outcome{Failed: isInstanceFailure(nil, ferr)}
+		outcome := route.Outcome{Failed: isInstanceFailure(nil, ferr)}
 		if ferr.Code == fault.Deadline {
-			report.Waited = n.clock() - now
+			outcome.Waited = n.clock() - now
 		}
-		in.Observed.End(n.clock(), report, n.ejectOptions(c))
+		in.Observed.End(n.clock(), outcome, n.ejectOptions(c))
 		if isInstanceFailure(nil, ferr) {
 			n.reportEjection(in, ferr)
 		}
--- a/internal/node/gate.go
+++ b/internal/node/gate.go
@@ -63,7 +63,7 @@
 }
 
 // awaitSlot waits until the limiter admits or refuses w, the scope is canceled, or the queue
-// time ends.
+// deadline giveUp on the node's clock passes.
 func (g *admissionGate) awaitSlot(s *scope.Scope, w *admission.Waiter, giveUp time.Duration) fault.Code {
 	canceled := make(chan fault.Code, 1)
 	if !s.Notify(canceled) {
@@ -87,9 +87,9 @@
 // slot is kept after a queue timeout and given back after a cancellation.
 func (g *admissionGate) abandonWait(w *admission.Waiter, code fault.Code) fault.Code {
 	g.mu.Lock()
-	left := g.limiter.RemoveWaiter(g.clock(), w)
+	removed := g.limiter.RemoveWaiter(g.clock(), w)
 	g.mu.Unlock()
-	if left {
+	if removed {
 		waiterPool.Put(w)
 		return code
 	}
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -20,11 +20,12 @@
 	gossipPeriod       = 500 * time.Millisecond
 	ackTimeout         = 150 * time.Millisecond
 	suspicionTimeout   = 2 * time.Second
-	forgetAfter        = 30 * time.Second
-	indirectProbes     = 3
-	maxPacketBytes     = 1100
-	maxDatagramBytes   = 16 << 10
-	// nudgeFanout is how many random members receive urgent news at once.
+	// departedRetention is how long a leaving or dead member is kept.
+	departedRetention = 30 * time.Second
+	indirectProbes    = 3
+	maxPacketBytes    = 1100
+	maxDatagramBytes  = 16 << 10
+	// nudgeFanout is how many random members receive urgent records at once.
 	nudgeFanout         = 3
 	packetQueueSize     = 1024
 	commandQueueSize    = 256
@@ -47,7 +48,7 @@
 }
 
 // gossiper runs the gossip core. One goroutine owns the core; others read
-// datagrams, compare records with other nodes and fetch settings.
+// datagrams, sync records with other nodes and fetch settings.
 type gossiper struct {
 	node        *Node
 	core        *gossip.Core
@@ -60,7 +61,7 @@
 	commands chan func()
 	// linkWake wakes the task that exchanges with other failure domains.
 	linkWake chan struct{}
-	// syncWake wakes the task that compares records.
+	// syncWake wakes the task that syncs records with other nodes.
 	syncWake chan struct{}
 	// routesStale is set while the routing table does not reflect all events.
 	routesStale bool
@@ -71,21 +72,21 @@
 	joined atomic.Bool
 	// highestVersion is the highest version of the settings known to exist.
 	highestVersion atomic.Uint64
-	// finder selects the nodes to compare records with. It is guarded by mu.
-	mu     sync.Mutex
-	finder *discovery.Core
+	// mu guards syncScheduler, which selects the nodes to sync records with.
+	mu            sync.Mutex
+	syncScheduler *discovery.Core
 }
 
 func newGossiper(n *Node) *gossiper {
 	self := gossip.Member{ID: n.id, Addr: n.opt.AdvertiseControl}
 	core := gossip.New(self, gossip.Options{
-		Period: gossipPeriod, AckTimeout: ackTimeout, Suspicion: suspicionTimeout, Forget: forgetAfter,
+		Period: gossipPeriod, AckTimeout: ackTimeout, Suspicion: suspicionTimeout, Forget: departedRetention,
 		Indirect: indirectProbes, PacketBytes: maxPacketBytes, Urgent: member.IsTerminationSummary, Rand: newRand(),
 	})
 	return &gossiper{
 		node: n, core: core, views: newViewBuilder(n), packets: ring.New[datagram](packetQueueSize), configHints: ring.New[configHint](configHintQueueSize),
 		commands: make(chan func(), commandQueueSize), linkWake: make(chan struct{}, 1), syncWake: make(chan struct{}, 1),
-		finder: discovery.New(discovery.Options{Self: n.opt.AdvertiseControl, Domain: n.opt.Domain, Rand: newRand()}),
+		syncScheduler: discovery.New(discovery.Options{Self: n.opt.AdvertiseControl, Domain: n.opt.Domain, Rand: newRand()}),
 	}
 }
 
@@ -219,13 +220,13 @@
 		select {
 		case <-g.node.stop:
 			return
-		case b := <-g.configHints.C():
-			if b.version <= g.node.conf.Load().version {
+		case hint := <-g.configHints.C():
+			if hint.version <= g.node.conf.Load().version {
 				continue
 			}
-			if err := g.node.fetchConfig(b.addr, fetchTimeoutAfter(failed)); err != nil {
+			if err := g.node.fetchConfig(hint.addr, fetchTimeoutAfter(failed)); err != nil {
 				failed++
-				g.node.warn("config", "Cannot fetch settings.", "from", b.addr, "err", err)
+				g.node.warn("config", "Cannot fetch settings.", "from", hint.addr, "err", err)
 				continue
 			}
 			failed = 0
@@ -258,7 +259,8 @@
 	}
 }
 
-// metaChanged publishes this node's changed metadata at once.
+// metaChanged publishes this node's current metadata and sends it to random members at
+// once.
 func (g *gossiper) metaChanged() {
 	g.postToCore(func() {
 		g.core.SetMeta(g.node.meta().Encode())
@@ -282,7 +284,7 @@
 	}
 }
 
-// leave announces to all nodes that this one leaves.
+// leave announces that this node leaves, to random members and the other domains at once.
 func (g *gossiper) leave() {
 	g.runOnCore(func() {
 		g.core.Leave()
@@ -299,8 +301,8 @@
 	}
 }
 
-// syncLoop runs anti-entropy: it compares records with other nodes, and thereby
-// joins the failure domain.
+// syncLoop runs anti-entropy: it syncs records with other nodes, and thereby joins the
+// failure domain.
 func (g *gossiper) syncLoop() {
 	for {
 		targets, next := g.dueSyncTargets()
@@ -316,33 +318,33 @@
 	}
 }
 
-// dueSyncTargets returns the addresses to compare records with now, and the time
-// until the next ones are due.
+// dueSyncTargets returns the addresses of the nodes to sync with now, and the time until
+// the next ones are due.
 func (g *gossiper) dueSyncTargets() ([]discovery.Target, time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.finder.SetBootstrap(g.node.bootstrap())
-	targets := g.finder.Due(g.node.clock())
-	return targets, max(0, g.finder.Next()-g.node.clock())
+	g.syncScheduler.SetBootstrap(g.node.bootstrap())
+	targets := g.syncScheduler.Due(g.node.clock())
+	return targets, max(0, g.syncScheduler.Next()-g.node.clock())
 }
 
-// syncAndRecord compares records with a node and tells the finder the result.
+// syncAndRecord syncs records with a node and tells the scheduler the result.
 func (g *gossiper) syncAndRecord(t discovery.Target) {
-	answer, err := g.syncWith(t)
+	result, err := g.syncWith(t)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err != nil {
-		// Not logged: most probed addresses do not answer. Their number is in the
+		// Not logged: most probed addresses do not respond. Their number is in the
 		// node's status.
-		g.finder.Failed(t.Addr)
+		g.syncScheduler.Failed(t.Addr)
 		return
 	}
-	g.finder.Answered(t.Addr, answer)
-	g.joined.Store(g.finder.Joined())
+	g.syncScheduler.Answered(t.Addr, result)
+	g.joined.Store(g.syncScheduler.Joined())
 }
 
-// syncWith compares records with the node at an address. A node of another failure
-// domain answers only with its domain and the nodes of this domain that it knows.
+// syncWith syncs records with the node at an address. A node of another failure domain
+// returns only its domain and the addresses in this domain that it knows.
 func (g *gossiper) syncWith(t discovery.Target) (discovery.Answer, error) {
 	var digest gossip.Digest
 	if !g.runOnCore(func() { digest = g.core.Digest() }) {
@@ -353,29 +355,29 @@
 	if err := g.node.control.pool.Call(t.Addr, "Sync", req, &reply, t.Timeout); err != nil {
 		return discovery.Answer{}, err
 	}
-	answer := discovery.Answer{Domain: reply.Domain, Seeds: reply.Seeds}
+	result := discovery.Answer{Domain: reply.Domain, Seeds: reply.Seeds}
 	g.observeVersion(viaSync, t.Addr, reply.Config)
 	if g.recentlyStarted() {
 		g.node.quarantine.adoptQuarantines(reply.Held)
 	}
 	if reply.Domain != g.node.opt.Domain {
 		g.node.control.links.Meet(reply.Domain, t.Addr)
-		return answer, nil
+		return result, nil
 	}
-	var mine []gossip.Record
+	var missing []gossip.Record
 	g.runOnCore(func() {
 		g.core.Merge(g.node.clock(), reply.Records)
-		mine = g.core.Differing(reply.Digest)
+		missing = g.core.Differing(reply.Digest)
 	})
-	if len(mine) == 0 {
-		return answer, nil
+	if len(missing) == 0 {
+		return result, nil
 	}
-	req.Records = mine
-	return answer, g.node.control.pool.Call(t.Addr, "Sync", req, &control.SyncReply{}, t.Timeout)
+	req.Records = missing
+	return result, g.node.control.pool.Call(t.Addr, "Sync", req, &control.SyncReply{}, t.Timeout)
 }
 
-// updateDiscovery passes the known nodes to the finder and wakes syncLoop if that
-// makes a comparison due earlier.
+// updateDiscovery passes the known nodes to the scheduler and wakes syncLoop if that
+// makes a sync due earlier.
 func (g *gossiper) updateDiscovery(v *membershipView) {
 	var seen discovery.View
 	for i := range v.members {
@@ -389,9 +391,9 @@
 		}
 	}
 	g.mu.Lock()
-	before := g.finder.Next()
-	g.finder.See(g.node.clock(), seen)
-	sooner := g.finder.Next() < before
+	before := g.syncScheduler.Next()
+	g.syncScheduler.See(g.node.clock(), seen)
+	sooner := g.syncScheduler.Next() < before
 	g.mu.Unlock()
 	if !sooner {
 		return
@@ -406,7 +408,7 @@
 func (g *gossiper) lostAddresses() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.finder.Lost()
+	return g.syncScheduler.Lost()
 }
 
 // recentlyStarted reports whether the node has just started and is still finding
--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -70,7 +70,7 @@
 	vulnerableSince time.Time
 	lastRepairTime  atomic.Int64
 	// saveTime is how long the save in progress has taken, in nanoseconds. stalled
-	// reports, on the leader, whether too few disks answer for a quorum.
+	// reports, on the leader, whether too few disks respond for a quorum.
 	saveTime atomic.Int64
 	stalled  atomic.Bool
 }
@@ -99,7 +99,7 @@
 }
 
 // run is the group's background task. It never waits for the disk, so a replica
-// with a stalled disk still answers messages.
+// with a stalled disk still responds to messages.
 func (g *group) run() {
 	t := time.NewTicker(raftTickInterval)
 	defer t.Stop()
@@ -162,18 +162,19 @@
 	g.proposeMembershipChange(members, opt)
 }
 
-// trackFailureTolerance records for how long the group could not tolerate a failure.
-func (g *group) trackFailureTolerance(bears bool) {
+// trackFailureTolerance records whether the group tolerates a failure and, once it does
+// again, for how long it did not.
+func (g *group) trackFailureTolerance(tolerates bool) {
 	switch {
-	case !bears && g.vulnerableSince.IsZero():
+	case !tolerates && g.vulnerableSince.IsZero():
 		g.vulnerableSince = time.Now()
-	case bears && !g.vulnerableSince.IsZero():
+	case tolerates && !g.vulnerableSince.IsZero():
 		took := time.Since(g.vulnerableSince)
 		g.vulnerableSince = time.Time{}
 		g.lastRepairTime.Store(int64(took))
 		g.replicas.node.logEvent("replica", "Group "+formatUint(uint64(g.id))+": tolerates a replica failure again after "+took.Round(time.Millisecond).String()+".")
 	}
-	g.toleratesFailure.Store(bears)
+	g.toleratesFailure.Store(tolerates)
 }
 
 // processReady carries out the core's pending work in the order that raft's
@@ -332,7 +333,7 @@
 	for _, p := range append(append([]raft.Peer(nil), conf.Voters...), conf.Learners...) {
 		if ticks, lag, ok := g.core.PeerStatus(p.ID); ok {
 			if conf.IsVoter(p.ID) {
-				// A voter whose disk confirms nothing counts as silent; a learner may
+				// A voter whose disk confirms nothing counts as unresponsive; a learner may
 				// be loading a large snapshot.
 				ticks = max(ticks, g.core.UnsavedTicks(p.ID))
 			}
@@ -371,35 +372,35 @@
 // propose commits a command and returns its result. The error's Run says whether
 // the command may have been applied.
 func (g *group) propose(command []byte, wait time.Duration) ([]byte, error) {
-	type start struct {
+	type proposalStart struct {
 		result []byte
 		err    error
 	}
-	started := make(chan start, 1)
+	started := make(chan proposalStart, 1)
 	done := make(chan []byte, 1)
 	ok := g.enqueue(func() {
 		if g.core.Role() != raft.Leader || g.failed {
-			started <- start{err: fault.New(fault.NotLeader, "this replica does not lead")}
+			started <- proposalStart{err: fault.New(fault.NotLeader, "this replica does not lead")}
 			return
 		}
 		if voters := len(g.core.Conf().Voters); voters < g.replicas.node.opt.MinVoters {
-			started <- start{err: fault.Newf(fault.NoQuorum, "the group has %d of %d replicas", voters, g.replicas.node.opt.MinVoters)}
+			started <- proposalStart{err: fault.Newf(fault.NoQuorum, "the group has %d of %d replicas", voters, g.replicas.node.opt.MinVoters)}
 			return
 		}
 		if g.stall.lacksQuorum {
-			started <- start{err: fault.New(fault.NoQuorum, "the disks of too many replicas do not answer")}
+			started <- proposalStart{err: fault.New(fault.NoQuorum, "the disks of too many replicas do not answer")}
 			return
 		}
 		result, err := g.sm.precheck(command)
 		if err != nil || result != nil {
-			started <- start{result, err}
+			started <- proposalStart{result, err}
 			return
 		}
 		index, term, err := g.core.Propose(command)
 		if err == nil {
 			g.proposals[index] = pendingProposal{term, done}
 		}
-		started <- start{err: err}
+		started <- proposalStart{err: err}
 	})
 	if !ok {
 		return nil, fault.New(fault.Overload, "the replica's inbox is full")
--- a/internal/node/headers.go
+++ b/internal/node/headers.go
@@ -24,7 +24,7 @@
 	HeaderRetryBudget = "Umber-Retry-Budget"
 	// HeaderExecution states on a refusal whether the request was executed: no or unknown.
 	HeaderExecution = "Umber-Run"
-	// HeaderReplayed fingerprints a response from the stored outcome of an earlier execution.
+	// HeaderReplayed marks a response taken from the stored outcome of an earlier execution.
 	HeaderReplayed = "Umber-Replayed"
 	// HeaderIdempotencyKey is the caller's idempotency key, a UUID of version 7.
 	HeaderIdempotencyKey = "Idempotency-Key"
@@ -76,7 +76,7 @@
 	return strconv.FormatInt(max(0, d.Milliseconds()), 10)
 }
 
-// parseRemaining parses HeaderRemaining; false unless it is a positive number.
+// parseRemaining parses the value of HeaderRemaining; false unless it is a positive number.
 func parseRemaining(v string) (time.Duration, bool) {
 	n, err := strconv.ParseInt(v, 10, 32)
 	if err != nil || n <= 0 {
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -36,7 +36,7 @@
 // first.
 const maxStartAttempts = 3
 
-func startNode(t testing.TB, domain string, boot []string, change func(*Options)) *testNode {
+func startNode(t testing.TB, domain string, bootstrap []string, change func(*Options)) *testNode {
 	t.Helper()
 	var err error
 	for range maxStartAttempts {
@@ -44,7 +44,7 @@
 		o.Name = domain + "-" + newID()[:4]
 		o.Domain = domain
 		o.HTTP, o.Data, o.Control, o.Admin = freeAddr(t), freeAddr(t), freeAddr(t), freeAddr(t)
-		o.Bootstrap = boot
+		o.Bootstrap = bootstrap
 		o.StopTimeout = Duration{5 * time.Second}
 		if change != nil {
 			change(&o)
--- a/internal/node/life.go
+++ b/internal/node/life.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// execution returns whether the request ran, did not run, or may have run.
+// execution returns whether the request was executed, was not, or may have been.
 func (p *requestProgress) execution() fault.Execution {
 	switch p.state {
 	case requestStateRefused:
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -153,7 +153,7 @@
 	class ResponseClass
 }
 
-// accepts reports whether a response belongs to the request.
+// accepts classifies a response and reports whether it belongs to the request.
 func (x *backendExchange) accepts(r *http.Response) bool {
 	if x.node.opt.HTTPAdapter == nil {
 		return true
@@ -185,7 +185,7 @@
 const maxRejectionBytes = 4 << 10
 
 // handleRejection ends a request that the backend server certainly did not execute. If another
-// server answered at its address, it also removes the local backend server.
+// server responded at its address, it also removes the local backend server.
 func (n *Node) handleRejection(be *localBackend, c *call, w *execution, p *requestProgress, resp *backend.Response, code fault.Code) *fault.Error {
 	_, _ = io.CopyN(io.Discard, resp, maxRejectionBytes)
 	resp.Close()
@@ -257,7 +257,7 @@
 }
 
 // handleBackendFailure removes a backend server that no longer accepts connections, until it
-// announces itself again.
+// announces itself again, and schedules the report of its termination.
 func (n *Node) handleBackendFailure(be *localBackend, e *fault.Error) {
 	if e.Code != fault.BackendLost {
 		return
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -187,8 +187,8 @@
 	}
 	r.retried = true
 	wait = time.Duration(float64(wait) * (0.5 + m.rng.Float64()))
-	left := modelDeadline - (m.now - r.startedAt)
-	m.schedule(min(wait, left/3), func() { m.arrive(r) })
+	remaining := modelDeadline - (m.now - r.startedAt)
+	m.schedule(min(wait, remaining/3), func() { m.arrive(r) })
 }
 
 // drawWorkTime draws a work time: half of the mean is fixed, half exponential.
@@ -244,16 +244,16 @@
 	}
 	took := time.Duration(float64(m.drawWorkTime(modelDeepWork[kind])) * slow / s.speed)
 	m.schedule(took, func() {
-		next, late := s.limiter.Finish(m.now, admission.Outcome{Kind: uint8(kind), ServiceTime: took}, nil)
-		for next != nil || len(late) > 0 {
-			for _, l := range late {
+		next, expired := s.limiter.Finish(m.now, admission.Outcome{Kind: uint8(kind), ServiceTime: took}, nil)
+		for next != nil || len(expired) > 0 {
+			for _, l := range expired {
 				m.finishWork(s, l, fault.Deadline)
 			}
 			if next == nil {
 				break
 			}
 			m.startWork(s, next)
-			next, late = s.limiter.AdmitNext(m.now, nil)
+			next, expired = s.limiter.AdmitNext(m.now, nil)
 		}
 		m.finishWork(s, w, fault.None)
 	})
--- a/internal/node/news.go
+++ b/internal/node/news.go
@@ -13,13 +13,14 @@
 const (
 	// viaPacket is a gossip packet, which carries its sender's version.
 	viaPacket versionSource = "packet"
-	// viaSync is a comparison of records between two nodes.
+	// viaSync is a sync of gossip records between two nodes.
 	viaSync versionSource = "sync"
 	// viaExchange is an exchange between two failure domains.
 	viaExchange versionSource = "exchange"
-	// viaReplicaAnswer is a replica's answer to a change that this node submitted.
-	viaReplicaAnswer versionSource = "answer"
-	// viaDisk is the replica on this node, which applied the version itself.
+	// viaReplicaResponse is a replica's response to a change that this node submitted.
+	viaReplicaResponse versionSource = "answer"
+	// viaDisk is the replica on this node, which applied the version before another node
+	// reported it.
 	viaDisk versionSource = "disk"
 )
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
 // Package node implements the daemon that runs beside one backend server. It
-// does the network and disk I/O for the packages that make the decisions, which
-// do none themselves.
+// does the network and disk I/O for the packages that make the decisions (such as
+// admission, route, gossip and raft), which do none themselves.
 //
 // Each request is handled on the goroutine that read it. Separate background
 // tasks run gossip, exchanges with other failure domains, maintenance (leases,
@@ -58,14 +58,14 @@
 	entryLevels, nestedLevels pathlevel.Table
 	peers                     peerClients
 	kinds                     kindIndexes
-	retryThrottles            sync.Map // service -> *budget.Share
-	bulkheads                 sync.Map // called service -> *admission.Waits
+	retryThrottles            sync.Map // service -> *budget.Throttle
+	bulkheads                 sync.Map // called service -> *admission.Bulkhead
 
 	gate *admissionGate
 	// local is the backend server, nil if there is none. localMu serialises changes.
 	local             atomic.Pointer[localBackend]
 	localMu           sync.Mutex
-	executionsByToken sync.Map // token -> *work, requests in flight at the backend server
+	executionsByToken sync.Map // token -> *execution, requests in flight at the backend server
 	lastToken         atomic.Uint64
 
 	lastAttemptID atomic.Uint64
@@ -235,8 +235,8 @@
 	return &lns, nil
 }
 
-// startTask runs a background task, which Close and Stop wait for. It must end once
-// n.stop is closed.
+// startTask runs a background task, for which Close and Stop wait. The task must end
+// once n.stop is closed. The name is for readers of the code only.
 func (n *Node) startTask(_ string, run func()) {
 	n.wg.Add(1)
 	go func() {
@@ -315,7 +315,7 @@
 	}
 }
 
-// departureGrace is how long a stopping node goes on answering other nodes after
+// departureGrace is how long a stopping node goes on serving other nodes after
 // it has announced its departure, while the announcement spreads.
 const departureGrace = 500 * time.Millisecond
 
@@ -420,8 +420,8 @@
 	n.wg.Wait()
 }
 
-// closeComponents stops the background tasks and closes all servers. Repeated calls
-// have no effect.
+// closeComponents tells the background tasks to stop and closes all servers. Repeated
+// calls have no effect.
 func (n *Node) closeComponents() {
 	select {
 	case <-n.stop:
@@ -462,6 +462,7 @@
 const servedTraceEvery = 64
 
 // recordOutcome records the latency, log line and trace of a completed request.
+// Only a sample of the calls that succeed at the first attempt is traced.
 // A request that callers sent to this node also counts towards the objective of
 // its kind.
 func (n *Node) recordOutcome(c *call, code fault.Code, run fault.Execution) {
@@ -482,7 +483,7 @@
 	})
 }
 
-// retryThrottle returns the limit on retries that calls to a service share.
+// retryThrottle returns the limit on retries that all calls to a service share.
 func (n *Node) retryThrottle(service string) *budget.Throttle {
 	if v, ok := n.retryThrottles.Load(service); ok {
 		return v.(*budget.Throttle)
@@ -493,7 +494,7 @@
 
 // acquireBulkhead counts a nested call against the share of this node's slots that may
 // wait on one called service, and reports whether the call may proceed. If so,
-// the returned Waits must be released afterwards.
+// the returned Bulkhead must be released afterwards.
 func (n *Node) acquireBulkhead(c *call) (*admission.Bulkhead, bool) {
 	v, ok := n.bulkheads.Load(c.service)
 	if !ok {
@@ -508,7 +509,8 @@
 	return w, w.TryAcquire(be.slots, c.policy.ShareMax, c.rank)
 }
 
-// reportEjection logs that an instance was ejected from routing, once per ejection.
+// reportEjection logs, once for each ejection, that an instance was ejected from routing
+// after a failure.
 func (n *Node) reportEjection(in *route.Instance, e *fault.Error) {
 	if in.Observed.ConsumeEjection() {
 		n.logEvent("route", "Ejected "+in.ID+" at "+in.Addr+" after "+e.Code.String()+".")
--- a/internal/node/partition_test.go
+++ b/internal/node/partition_test.go
@@ -128,7 +128,7 @@
 }
 
 // A domain cut off from the others must keep serving requests, refuse what needs a
-// quorum as not run, and catch up on the settings once it is reconnected.
+// quorum as not executed, and catch up on the settings once it is reconnected.
 func TestPartitionedDomainServesAndCatchesUp(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := startReplicas(t, "a", "b", "c")
@@ -156,7 +156,7 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	g.Eventually(func() bool { return cut.view.Load().domains["a"].Reachable }, 10*time.Second).Should(gomega.BeFalse())
-	// It refuses requests that need a quorum, as not run.
+	// It refuses requests that need a quorum, as not executed.
 	res := cut.call("suva/claims-hub/lodge", "", nil, map[string]string{HeaderIdempotencyKey: uuid.Must(uuid.NewV7()).String()})
 	g.Expect(res.problem().Reason).To(gomega.Equal("no-quorum"))
 	g.Expect(res.problem().Execution).To(gomega.Equal("no"))
@@ -210,7 +210,7 @@
 }
 
 // A leader that can send to the others but receives nothing must step down, and must
-// neither block changes nor answer reads.
+// neither block changes nor serve reads.
 func TestLeaderThatReceivesNothingStepsDown(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := startReplicas(t, "a", "b", "c")
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -21,14 +21,14 @@
 	clients sync.Map // address -> *wire.Client
 	// unreachable holds the addresses that cannot be reached, each with the routing
 	// observations of its instance.
-	unreachable sync.Map // address -> *route.Observed
+	unreachable sync.Map // address -> *route.Observations
 }
 
 // markUnreachable records that the node at an address cannot be reached. It gets no requests
 // until it answers a ping.
-func (p *peerClients) markUnreachable(addr string, seen *route.Observations) {
-	seen.SetUnreachable(true)
-	p.unreachable.Store(addr, seen)
+func (p *peerClients) markUnreachable(addr string, observed *route.Observations) {
+	observed.SetUnreachable(true)
+	p.unreachable.Store(addr, observed)
 }
 
 // probeUnreachable pings all unreachable addresses in parallel, and returns those that answer
@@ -49,8 +49,8 @@
 	wg.Wait()
 }
 
-// client returns the client for an address, and creates it with the given silence timeout if
-// there is none.
+// client returns the client for an address. If there is none it creates one, on which a peer
+// counts as unresponsive after the given silence.
 func (p *peerClients) client(addr string, silence time.Duration) *wire.Client {
 	if v, ok := p.clients.Load(addr); ok {
 		return v.(*wire.Client)
@@ -74,7 +74,7 @@
 }
 
 // refreshIdle pings idle connections of each peer, so that live ones are available. It blocks
-// while one is silent.
+// while one is unresponsive.
 func (p *peerClients) refreshIdle() {
 	p.clients.Range(func(_, v any) bool {
 		v.(*wire.Client).Refresh()
@@ -82,7 +82,7 @@
 	})
 }
 
-// silentConnections returns how many connections were found silent.
+// silentConnections returns how many connections were found unresponsive.
 func (p *peerClients) silentConnections() int64 {
 	var n int64
 	p.clients.Range(func(_, v any) bool {
--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -66,12 +66,12 @@
 func startCrashFleet(t testing.TB, domains, perDomain int, serviceOf func(i int) string) *crashFleet {
 	t.Helper()
 	c := &crashFleet{t: t}
-	var boot []string
+	var bootstrap []string
 	for d := range domains {
 		for range perDomain {
-			n := startNode(t, fmt.Sprintf("domain-%d", d), boot, nil)
+			n := startNode(t, fmt.Sprintf("domain-%d", d), bootstrap, nil)
 			c.nodes = append(c.nodes, n)
-			boot = []string{c.nodes[0].opt.Control, n.opt.Control}
+			bootstrap = []string{c.nodes[0].opt.Control, n.opt.Control}
 		}
 	}
 	useSettings(t, crashFleetSettings, c.nodes...)
@@ -231,7 +231,7 @@
 			laterRuns++
 		}
 	}
-	t.Logf("%d backend servers crashed, %d executions after %v; unique %d of %d, identical %d of %d answered, refusals %v", len(runs), laterRuns, maxSpread, healthy.ok, healthy.total, identical.ok, identical.total, healthy.reasons)
+	t.Logf("%d backend servers crashed, %d executions after %v; unique %d of %d, identical %d of %d served, refusals %v", len(runs), laterRuns, maxSpread, healthy.ok, healthy.total, identical.ok, identical.total, healthy.reasons)
 	g.Expect(laterRuns).To(gomega.BeNumerically("<=", maxLaterRuns), "executions after all nodes must know of the crashes")
 	g.Expect(len(runs)).To(gomega.BeNumerically("<=", maxCrashes), "crashed backend servers")
 	failed := healthy.total - healthy.ok + identical.total - identical.ok
@@ -299,7 +299,7 @@
 	wg.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t.Logf("%d backend servers terminated; identical %d of %d, slow %d of %d answered, refusals %v %v", len(c.crashTimes), identical.ok, identical.total, slow.ok, slow.total, identical.reasons, slow.reasons)
+	t.Logf("%d backend servers terminated; identical %d of %d, slow %d of %d served, refusals %v %v", len(c.crashTimes), identical.ok, identical.total, slow.ok, slow.total, identical.reasons, slow.reasons)
 	g.Expect(len(c.crashTimes)).To(gomega.BeNumerically(">", 40))
 	g.Expect(identical.reasons).NotTo(gomega.HaveKey("quarantined"))
 	g.Expect(slow.reasons).NotTo(gomega.HaveKey("quarantined"))
@@ -323,9 +323,9 @@
 	g.Expect(poison(late)).To(gomega.Equal("quarantined"))
 	g.Expect(late.call("kigali/sheets/open/other", "", nil, nil).problem().Reason).NotTo(gomega.Equal("quarantined"))
 	g.Expect(c.poisonRunTimes()).To(gomega.HaveLen(crashed))
-	held := late.Status().Quarantined
-	g.Expect(held).To(gomega.HaveLen(1))
-	g.Expect(held[0].Terminations).To(gomega.BeNumerically(">=", 3))
+	quarantined := late.Status().Quarantined
+	g.Expect(quarantined).To(gomega.HaveLen(1))
+	g.Expect(quarantined[0].Terminations).To(gomega.BeNumerically(">=", 3))
 }
 
 // Similar requests must share a content fingerprint; a streamed body counts by its prefix and
@@ -355,15 +355,15 @@
 	g := gomega.NewWithT(t)
 	n := startNode(t, "domain-0", nil, nil)
 	q := n.quarantine
-	reportTermination := func(start uint32) *member.Termination {
+	reportTermination := func(incarnation uint32) *member.Termination {
 		for i := range 2 * maxTerminationRequests {
-			c := &call{target: "kigali/sheets/open", path: fmt.Sprint("/", start, "/", i), caller: "someone", started: time.Now(), scope: scope.New(time.Now().Add(time.Second))}
+			c := &call{target: "kigali/sheets/open", path: fmt.Sprint("/", incarnation, "/", i), caller: "someone", started: time.Now(), scope: scope.New(time.Now().Add(time.Second))}
 			c.computeFingerprints()
-			q.recordBroken(start, c)
+			q.recordBroken(incarnation, c)
 		}
-		q.reportTermination(&localBackend{service: "kigali/sheets", incarnation: start})
-		end, _ := q.ownReports()
-		return end
+		q.reportTermination(&localBackend{service: "kigali/sheets", incarnation: incarnation})
+		termination, _ := q.ownReports()
+		return termination
 	}
 	g.Expect(reportTermination(1).Marks).To(gomega.HaveLen(member.MaxFingerprints))
 	g.Expect(len(n.meta().Encode())).To(gomega.BeNumerically("<", maxPacketBytes*2/3))
@@ -379,7 +379,7 @@
 }
 
 // Guards against ignoring a second clearance of fingerprints that were suspected again before
-// the first clearance was forgotten.
+// the first clearance expired.
 func TestEachClearanceEndsQuarantine(t *testing.T) {
 	g := gomega.NewWithT(t)
 	n := startNode(t, "domain-0", nil, nil)
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -69,7 +69,7 @@
 	mu    sync.Mutex
 	table *quarantine.Table
 	// ownTermination and ownClearances are what this node gossips: the last termination of its
-	// backend server, and the suspected fingerprints of which it saw a response.
+	// backend server, and the clearances of fingerprints for which it saw a response.
 	ownTermination *member.Termination
 	ownClearances  []member.AnsweredRequest
 	// brokenRequests are the last requests whose connections broke, a ring buffer with its
@@ -129,11 +129,11 @@
 	if v.Empty() || !c.policy.Quarantine || c.policy.Mode != admission.ModeFull {
 		return nil
 	}
-	left := v.Remaining(q.n.clock(), c.fingerprints)
-	if left == 0 {
+	remaining := v.Remaining(q.n.clock(), c.fingerprints)
+	if remaining == 0 {
 		return nil
 	}
-	return fault.Newf(fault.Quarantined, "%d backend servers terminated while executing similar requests", v.Terminations(c.fingerprints)).WithRetryAfter(left)
+	return fault.Newf(fault.Quarantined, "%d backend servers terminated while executing similar requests", v.Terminations(c.fingerprints)).WithRetryAfter(remaining)
 }
 
 // terminationCount returns how many backend servers terminated while executing similar
@@ -142,8 +142,8 @@
 	return q.view.Load().Terminations(c.fingerprints)
 }
 
-// recordResponse records that a backend server answered the call completely, which clears its
-// fingerprints.
+// recordResponse records that a backend server responded to the call completely, which clears
+// its fingerprints.
 func (q *quarantineManager) recordResponse(c *call) {
 	q.responses.Note(q.n.clock(), c.fingerprints)
 	if v := q.view.Load(); !v.Empty() && v.IsSuspect(c.fingerprints) {
@@ -165,7 +165,8 @@
 	q.rebuildView()
 }
 
-// clearFingerprint removes the suspicion of a fingerprint. The lock is held.
+// clearFingerprint ends the suspicion of a fingerprint, and logs it if the fingerprint was
+// quarantined. The lock is held.
 func (q *quarantineManager) clearFingerprint(fingerprint quarantine.Fingerprint) {
 	if q.table.RecordAnswer(fingerprint) {
 		q.n.logEvent("quarantine", "Requests like "+q.fingerprintLabel(fingerprint)+" are no longer quarantined: one was answered.")
@@ -188,7 +189,7 @@
 	}
 }
 
-// QuarantineStatus describes a quarantined fingerprint of a node.
+// QuarantineStatus describes a fingerprint that is quarantined at a node.
 type QuarantineStatus struct {
 	// Fingerprint is the fingerprint in hexadecimal, and Request describes one of its requests
 	// if this node knows any.
@@ -203,11 +204,11 @@
 
 // status returns the active quarantines ordered by fingerprint.
 func (q *quarantineManager) status() []QuarantineStatus {
-	held := q.activeQuarantines()
+	active := q.activeQuarantines()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	out := make([]QuarantineStatus, 0, len(held))
-	for _, h := range held {
+	out := make([]QuarantineStatus, 0, len(active))
+	for _, h := range active {
 		out = append(out, QuarantineStatus{
 			Fingerprint: strconv.FormatUint(uint64(h.Mark), 16), Request: q.fingerprintDescriptions[h.Mark],
 			Terminations: h.Ends, Round: h.Round, LeftMs: h.Left.Milliseconds(),
--- a/internal/node/quarantine_ends.go
+++ b/internal/node/quarantine_ends.go
@@ -60,8 +60,8 @@
 	return len(q.domainTerminationTimes) == massTerminationCount && q.n.clock()-q.domainTerminationTimes[0] < massTerminationWindow
 }
 
-// reportTermination gossips a termination with the fingerprints of the requests that were
-// executing. It does nothing if there were none.
+// reportTermination gossips a termination with the suspect fingerprints of the requests that
+// were executing. It does nothing if there were none or the termination was reported before.
 func (q *quarantineManager) reportTermination(be *localBackend) {
 	q.mu.Lock()
 	if be.incarnation <= q.lastReportedIncarnation {
@@ -79,12 +79,12 @@
 		fingerprints = q.suspectFingerprints(requests)
 	}
 	q.ownTermination = &member.Termination{Start: be.incarnation, Service: be.service, AtMs: time.Now().UnixMilli(), Marks: fingerprints}
-	end := q.ownTermination
+	termination := q.ownTermination
 	q.mu.Unlock()
 	q.n.info("quarantine", "A backend server terminated with requests in flight.", "service", be.service, "in_work", len(requests), "marks", len(fingerprints),
 		"newest", requests[0].target+truncate(requests[0].path, maxShownPath))
 	q.n.publishMeta()
-	q.applyDomainTermination(q.n.id, end)
+	q.applyDomainTermination(q.n.id, termination)
 }
 
 // ownReports returns the termination and the clearances that this node gossips.
--- a/internal/node/quarantine_news.go
+++ b/internal/node/quarantine_news.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// applyClearance applies another node's report that a suspected request was answered; false if
-// it is old or already known.
+// applyClearance applies a clearance, another node's report of a response to a suspected
+// request; false if it is old or already known.
 func (q *quarantineManager) applyClearance(a member.AnsweredRequest) bool {
 	if !isRecent(a.AtMs) {
 		return false
@@ -74,15 +74,15 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.n.clock()
-	end := quarantine.Termination{Incarnation: id + "/" + strconv.FormatUint(uint64(e.Start), 10), Service: e.Service}
+	termination := quarantine.Termination{Incarnation: id + "/" + strconv.FormatUint(uint64(e.Start), 10), Service: e.Service}
 	for _, fingerprint := range e.Marks {
-		end.Fingerprints = append(end.Fingerprints, quarantine.Fingerprint(fingerprint))
+		termination.Fingerprints = append(termination.Fingerprints, quarantine.Fingerprint(fingerprint))
 	}
-	quarantined, isNew := q.table.RecordTermination(now, end)
+	quarantined, isNew := q.table.RecordTermination(now, termination)
 	if !isNew {
 		return false
 	}
-	for _, fingerprint := range end.Fingerprints {
+	for _, fingerprint := range termination.Fingerprints {
 		if q.table.Terminations(fingerprint) > 0 && q.responses.AnsweredRecently(now, fingerprint) {
 			q.clearFingerprint(fingerprint)
 			q.scheduleClearance(fingerprint)
@@ -93,25 +93,26 @@
 	return true
 }
 
-// reportQuarantines logs the fingerprints that become quarantined. The lock is held.
-func (q *quarantineManager) reportQuarantines(held []quarantine.QuarantinedRequest) {
-	held = slices.DeleteFunc(held, func(h quarantine.QuarantinedRequest) bool { return q.table.Terminations(h.Mark) == 0 })
-	if len(held) == 0 {
+// reportQuarantines logs the fingerprints that become quarantined, without those cleared
+// since. The lock is held.
+func (q *quarantineManager) reportQuarantines(quarantined []quarantine.QuarantinedRequest) {
+	quarantined = slices.DeleteFunc(quarantined, func(h quarantine.QuarantinedRequest) bool { return q.table.Terminations(h.Mark) == 0 })
+	if len(quarantined) == 0 {
 		return
 	}
 	names := make([]string, 0, maxNamedFingerprints)
-	for _, h := range held[:min(len(held), maxNamedFingerprints)] {
+	for _, h := range quarantined[:min(len(quarantined), maxNamedFingerprints)] {
 		names = append(names, q.fingerprintLabel(h.Mark))
 	}
-	q.n.logEvent("quarantine", "Requests like "+strings.Join(names, ", ")+" are refused for "+held[0].Left.Round(time.Second).String()+": "+
-		strconv.Itoa(held[0].Ends)+" backend servers terminated while executing one. Fingerprints: "+strconv.Itoa(len(held))+".")
+	q.n.logEvent("quarantine", "Requests like "+strings.Join(names, ", ")+" are refused for "+quarantined[0].Left.Round(time.Second).String()+": "+
+		strconv.Itoa(quarantined[0].Ends)+" backend servers terminated while executing one. Fingerprints: "+strconv.Itoa(len(quarantined))+".")
 }
 
 // isRecent reports whether a Unix time in milliseconds is within maxTerminationAge of now, in
 // either direction, as the clocks of two nodes differ.
 func isRecent(ms int64) bool { return time.Since(time.UnixMilli(ms)).Abs() < maxTerminationAge }
 
-// summaries returns the reports for the other failure domains.
+// summaries returns the termination and clearance reports for the other failure domains.
 func (q *quarantineManager) summaries() []member.Summary {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -132,7 +133,7 @@
 	return out
 }
 
-// activeQuarantines returns the fingerprints that this node refuses.
+// activeQuarantines returns the quarantined fingerprints.
 func (q *quarantineManager) activeQuarantines() []quarantine.QuarantinedRequest {
 	if q.view.Load().Empty() {
 		return nil
@@ -143,13 +144,13 @@
 }
 
 // adoptQuarantines takes over the active quarantines of another node.
-func (q *quarantineManager) adoptQuarantines(held []quarantine.QuarantinedRequest) {
-	if len(held) == 0 {
+func (q *quarantineManager) adoptQuarantines(active []quarantine.QuarantinedRequest) {
+	if len(active) == 0 {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.table.Adopt(q.n.clock(), held)
+	q.table.Adopt(q.n.clock(), active)
 	q.rebuildView()
 }
 
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -26,7 +26,7 @@
 	configGroup = 0
 	// identityFile is the file in the data folder that holds the replica's identity.
 	identityFile = "identity"
-	// damagedPrefix begins the names of folders that hold damaged data.
+	// damagedPrefix begins the names of the subfolders to which damaged data is moved.
 	damagedPrefix = "lost-"
 	// sendQueueSize is how many messages are queued for one node.
 	sendQueueSize = 1024
@@ -236,10 +236,10 @@
 	return false
 }
 
-// confirmIdentities asks all given replicas at once and returns those that confirm
+// confirmIdentities asks all given replicas in parallel and returns those that confirm
 // their identity.
 func (r *replicas) confirmIdentities(peers []raft.Peer) []raft.Peer {
-	answers := make([]bool, len(peers))
+	confirmed := make([]bool, len(peers))
 	var wg sync.WaitGroup
 	for i, p := range peers {
 		wg.Add(1)
@@ -247,13 +247,13 @@
 			defer wg.Done()
 			var reply control.IdentityReply
 			err := r.node.control.pool.Call(p.Addr, "Identity", &control.Empty{}, &reply, stepTimeout)
-			answers[i] = err == nil && reply.ID == p.ID
+			confirmed[i] = err == nil && reply.ID == p.ID
 		}()
 	}
 	wg.Wait()
 	var out []raft.Peer
 	for i, p := range peers {
-		if answers[i] {
+		if confirmed[i] {
 			out = append(out, p)
 		}
 	}
@@ -399,7 +399,7 @@
 }
 
 // candidateAddr returns the address of a replica that is not a known member, or "".
-// A learner has to answer its leader before it has received the membership.
+// A learner has to respond to its leader before it has received the membership.
 func (r *replicas) candidateAddr(id string) string {
 	for _, p := range append(r.verifiedReplicas(), r.node.view.Load().replicas...) {
 		if p.ID == id {
--- a/internal/node/replica_test.go
+++ b/internal/node/replica_test.go
@@ -24,14 +24,15 @@
 	return startReplicasWith(t, func(int, *Options) {}, domains...)
 }
 
-// startReplicasWith is startReplicas with a function that changes each node's options.
+// startReplicasWith does the same as startReplicas after change has modified each node's
+// options.
 func startReplicasWith(t testing.TB, change func(i int, o *Options), domains ...string) []*testNode {
 	t.Helper()
 	var nodes []*testNode
-	var boot []string
+	var bootstrap []string
 	for i, d := range domains {
 		dir := t.TempDir()
-		n := startNode(t, d, boot, func(o *Options) {
+		n := startNode(t, d, bootstrap, func(o *Options) {
 			o.DataFolder = dir
 			o.Replicas = len(domains)
 			o.SuspectAfter = Duration{600 * time.Millisecond}
@@ -39,7 +40,7 @@
 			change(i, o)
 		})
 		nodes = append(nodes, n)
-		boot = []string{nodes[0].opt.Control}
+		bootstrap = []string{nodes[0].opt.Control}
 	}
 	if err := nodes[0].replicas.formGroups(); err != nil {
 		t.Fatal(err)
@@ -131,7 +132,7 @@
 	}
 }
 
-// Concurrent requests with the same idempotency key must run once in total.
+// Concurrent requests with the same idempotency key must be executed once in total.
 func TestKeyedRequestRunsOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	nodes := startReplicas(t, "a", "b", "c")
@@ -162,7 +163,7 @@
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
-			t.Errorf("no answer for the key")
+			t.Errorf("no successful response for the key")
 		}()
 	}
 	wg.Wait()
@@ -175,11 +176,11 @@
 // advertises, not under the bootstrap address at which it was found.
 func TestReplicaIsKnownByItsAdvertisedAddress(t *testing.T) {
 	g := gomega.NewWithT(t)
-	told := freeAddr(t)
+	advertised := freeAddr(t)
 	far := startNode(t, "b", nil, func(o *Options) {
 		o.DataFolder = t.TempDir()
-		o.AdvertiseControl = told
+		o.AdvertiseControl = advertised
 	})
 	near := startNode(t, "a", []string{far.opt.Control}, func(o *Options) { o.DataFolder = t.TempDir() })
-	g.Expect(near.replicas.identifyReplicas(nil)).To(gomega.Equal([]raft.Peer{{ID: far.replicas.id, Addr: told, Domain: "b"}}))
+	g.Expect(near.replicas.identifyReplicas(nil)).To(gomega.Equal([]raft.Peer{{ID: far.replicas.id, Addr: advertised, Domain: "b"}}))
 }
--- a/internal/node/reqlog.go
+++ b/internal/node/reqlog.go
@@ -25,15 +25,15 @@
 
 // allow reports whether another line may be logged in this second, and counts it as skipped if
 // not.
-func (b *lineLimiter) allow(now time.Duration, limit int64) bool {
+func (l *lineLimiter) allow(now time.Duration, limit int64) bool {
 	second := int64(now / time.Second)
-	if old := b.second.Load(); old != second && b.second.CompareAndSwap(old, second) {
-		b.used.Store(0)
+	if old := l.second.Load(); old != second && l.second.CompareAndSwap(old, second) {
+		l.used.Store(0)
 	}
-	if b.used.Add(1) <= limit {
+	if l.used.Add(1) <= limit {
 		return true
 	}
-	b.skipped.Add(1)
+	l.skipped.Add(1)
 	return false
 }
 
@@ -87,7 +87,7 @@
 	n.info("request", outcomeMessage(code, late), kv...)
 }
 
-// latencyObjective returns the time within which the call should be answered, or an hour if
+// latencyObjective returns the time within which the call should be completed, or an hour if
 // its request kind is unknown.
 func (c *call) latencyObjective() time.Duration {
 	if c.policy == nil {
--- a/internal/node/restart_test.go
+++ b/internal/node/restart_test.go
@@ -16,7 +16,7 @@
 	return &Announcement{Service: "f/s", Address: addr, Slots: 8, Connections: 32, State: "serving", Instance: "x", StartedAtMs: startedAtMs, Sequence: sequence}
 }
 
-// unresponsiveServer starts a server that accepts connections and never answers, and
+// unresponsiveServer starts a server that accepts connections and never responds, and
 // returns its address.
 func unresponsiveServer(t *testing.T) string {
 	t.Helper()
@@ -87,7 +87,7 @@
 // After a withdrawal without a start time, a delayed announcement of the withdrawn
 // incarnation must not bring it back.
 func TestWithdrawalWithoutStartTimeRetiresEarlierIncarnations(t *testing.T) {
-	for name, known := range map[string]bool{"adopted": true, "never seen": false} {
+	for name, known := range map[string]bool{"known": true, "never seen": false} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			n := startNode(t, "a", nil, nil)
@@ -126,11 +126,11 @@
 	n := startNode(t, "a", nil, nil)
 	addr := unresponsiveServer(t)
 	g.Expect(n.Announce(newAnnouncement(addr, 0, 0))).To(gomega.BeNil())
-	adopted := n.local.Load()
+	recovered := n.local.Load()
 	g.Expect(n.Announce(newAnnouncement(addr, 5000, 77))).To(gomega.BeNil())
 	g.Expect(n.local.Load().startedAtMs).To(gomega.Equal(int64(5000)))
-	g.Expect(n.local.Load().incarnation).To(gomega.Equal(adopted.incarnation))
-	g.Expect(n.local.Load().client).To(gomega.BeIdenticalTo(adopted.client))
+	g.Expect(n.local.Load().incarnation).To(gomega.Equal(recovered.incarnation))
+	g.Expect(n.local.Load().client).To(gomega.BeIdenticalTo(recovered.client))
 }
 
 // A request at an incarnation that vanished must end, and free its slot, as soon as a
@@ -143,7 +143,7 @@
 	addr := unresponsiveServerNotifying(t, heard)
 	g.Expect(n.Announce(newAnnouncement(addr, 1000, 1))).To(gomega.BeNil())
 	n.awaitInstances("f/s", 1)
-	seen := n.routes.Load().Services["f/s"].LocalInstances[0].Observed
+	observed := n.routes.Load().Services["f/s"].LocalInstances[0].Observed
 	done := make(chan httpResult, 1)
 	go func() { done <- n.call("f/s/k", "lost", nil, nil) }()
 	g.Eventually(heard, 5*time.Second).Should(gomega.Receive())
@@ -152,10 +152,10 @@
 	var r httpResult
 	g.Eventually(done, 3*time.Second).Should(gomega.Receive(&r))
 	g.Expect(r.problem().Reason).To(gomega.Equal(fault.BackendLost.String()))
-	g.Expect(r.problem().Execution).To(gomega.Equal(fault.ExecutionUnknown.String()), "the request may have run")
+	g.Expect(r.problem().Execution).To(gomega.Equal(fault.ExecutionUnknown.String()), "the request may have been executed")
 	g.Expect(n.gate.load().inflight).To(gomega.BeZero())
 	g.Eventually(func() bool {
 		svc := n.routes.Load().Services["f/s"]
-		return svc != nil && svc.LocalInstances[0].Observed != seen && svc.LocalInstances[0].Observed.InFlight() == 0
+		return svc != nil && svc.LocalInstances[0].Observed != observed && svc.LocalInstances[0].Observed.InFlight() == 0
 	}, 5*time.Second, time.Millisecond).Should(gomega.BeTrue(), "observations of the earlier incarnation are dropped")
 }
--- a/internal/node/reunion_test.go
+++ b/internal/node/reunion_test.go
@@ -33,10 +33,10 @@
 func TestSettingsPropagateAfterAllReplicasRestart(t *testing.T) {
 	g := gomega.NewWithT(t)
 	replicas := startReplicas(t, "a", "b")
-	boot := []string{replicas[0].opt.Control, replicas[1].opt.Control}
+	bootstrap := []string{replicas[0].opt.Control, replicas[1].opt.Control}
 	plain := []*testNode{
-		startNode(t, "a", boot, nil), startNode(t, "a", boot, nil),
-		startNode(t, "b", boot, nil), startNode(t, "b", boot, nil),
+		startNode(t, "a", bootstrap, nil), startNode(t, "a", bootstrap, nil),
+		startNode(t, "b", bootstrap, nil), startNode(t, "b", bootstrap, nil),
 	}
 	version := uint64(0)
 	for range 3 {
--- a/internal/node/stall.go
+++ b/internal/node/stall.go
@@ -2,19 +2,19 @@
 
 import "github.com/umberthread/umberthread/raft"
 
-// diskStalls holds which disks of a group a replica considers stalled.
+// diskStalls records which disk stalls a replica has detected in its group.
 type diskStalls struct {
-	// ownDisk is set if this replica's disk stalls.
-	ownDisk bool
+	// ownDiskStalled is set if this replica's disk stalls.
+	ownDiskStalled bool
 	// lacksQuorum is set on a leader if too many disks stall to commit changes.
 	lacksQuorum bool
 }
 
-// checkDiskStalls detects and reports the begin and end of disk stalls. A leader without a
+// checkDiskStalls detects disk stalls and reports when they start and end. A leader without a
 // quorum of responsive disks refuses changes, as it could not confirm them.
 func (g *group) checkDiskStalls() {
 	own := g.core.SaveTicks() >= stallTicks
-	if own != g.stall.ownDisk {
+	if own != g.stall.ownDiskStalled {
 		g.reportStall(own, "its disk has not responded for "+(stallTicks*raftTickInterval).String(), "its disk responds again")
 	}
 	quorum := g.core.Role() == raft.Leader && !g.hasDiskQuorum(own)
@@ -26,11 +26,11 @@
 	g.stalled.Store(quorum)
 }
 
-// reportStall emits an event for the begin or end of a stall.
-func (g *group) reportStall(stalls bool, begins, ends string) {
-	text := ends
-	if stalls {
-		text = begins
+// reportStall logs an event with startText if a stall starts, and with endText if it ends.
+func (g *group) reportStall(stalled bool, startText, endText string) {
+	text := endText
+	if stalled {
+		text = startText
 	}
 	g.replicas.node.logEvent("replica", "Group "+formatUint(uint64(g.id))+": "+text+".")
 }
--- a/internal/node/statemachine.go
+++ b/internal/node/statemachine.go
@@ -24,7 +24,7 @@
 	restore(data []byte) error
 }
 
-// configMachine is the state machine of the group of the operators' settings.
+// configMachine is the state machine of configGroup, which holds the operators' settings.
 type configMachine struct {
 	node  *Node
 	store *confstore.Store
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -16,8 +16,8 @@
 	retries       atomic.Int64
 	// brokenResponses counts the responses that could not be sent completely.
 	brokenResponses atomic.Int64
-	// servedRequests counts the requests of callers and of the local backend server that were
-	// answered.
+	// servedRequests counts the requests of callers and of the local backend server that
+	// received a complete response.
 	servedRequests atomic.Int64
 	refusals       [fault.Count]atomic.Int64
 
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -13,10 +13,10 @@
 // replicaAskTimeout bounds one request to one replica.
 const replicaAskTimeout = 700 * time.Millisecond
 
-// replicaAnswer is the outcome of one request to a replica.
-type replicaAnswer struct {
+// replicaResponse is the outcome of one request to a replica.
+type replicaResponse struct {
 	addr string
-	// err is set if the replica did not answer.
+	// err is set if the replica did not respond.
 	err error
 	// code is fault.None if the request succeeded.
 	code fault.Code
@@ -27,14 +27,14 @@
 }
 
 // askLeader sends a request to the replicas of a group, each on its own goroutine,
-// until settled accepts an answer or the time is over. The request may reach several
+// until settled accepts a response or the wait is over. The request may reach several
 // replicas, and one of them twice, so it must be idempotent. askLeader returns the
-// number of requests still unanswered.
-func (n *Node) askLeader(group int, wait time.Duration, ask func(addr string, wait time.Duration) replicaAnswer, settled func(replicaAnswer) bool) (unanswered int) {
+// number of requests that have no response yet.
+func (n *Node) askLeader(group int, wait time.Duration, ask func(addr string, wait time.Duration) replicaResponse, settled func(replicaResponse) bool) (unanswered int) {
 	began := time.Now()
 	elapsed := func() time.Duration { return time.Since(began) }
 	search := seek.New(n.replicas.leaderAddr(group))
-	answers := make(chan replicaAnswer)
+	responses := make(chan replicaResponse)
 	done := make(chan struct{})
 	defer close(done)
 	timer := time.NewTimer(0)
@@ -45,27 +45,27 @@
 			unanswered++
 			go func() {
 				select {
-				case answers <- ask(addr, min(wait-elapsed(), replicaAskTimeout)):
+				case responses <- ask(addr, min(wait-elapsed(), replicaAskTimeout)):
 				case <-done:
 				}
 			}()
 		}
 		timer.Reset(min(nextAt, wait) - elapsed())
 		select {
-		case a := <-answers:
+		case a := <-responses:
 			unanswered--
 			if settled(a) {
 				return unanswered
 			}
-			recordAnswer(search, elapsed(), a)
+			recordReplicaResponse(search, elapsed(), a)
 		case <-timer.C:
 		}
 	}
 	return unanswered
 }
 
-// recordAnswer passes a replica's answer to the search.
-func recordAnswer(s *seek.LeaderSearch, now time.Duration, a replicaAnswer) {
+// recordReplicaResponse passes a replica's response to the search for the leader.
+func recordReplicaResponse(s *seek.LeaderSearch, now time.Duration, a replicaResponse) {
 	switch {
 	case a.err != nil:
 		s.RecordNoResponse(now, a.addr)
@@ -77,18 +77,18 @@
 }
 
 // submitCommand commits a command in a replica group, whichever node leads it. The
-// command is resent until a leader answers, so it must be idempotent. The error's
-// Run is RunNo only if no replica can have accepted the command.
+// command is resent until a leader responds, so it must be idempotent. The error's
+// Run is fault.NotExecuted only if no replica can have accepted the command.
 func (n *Node) submitCommand(id int, command []byte, wait time.Duration) ([]byte, *fault.Error) {
 	uncertain := false
 	var result []byte
 	var refused *fault.Error
-	ask := func(addr string, wait time.Duration) replicaAnswer {
+	ask := func(addr string, wait time.Duration) replicaResponse {
 		reply, err := n.submitTo(addr, id, command, wait)
-		return replicaAnswer{addr: addr, err: err, code: reply.Code, leader: reply.Leader, reply: reply}
+		return replicaResponse{addr: addr, err: err, code: reply.Code, leader: reply.Leader, reply: reply}
 	}
 	found := false
-	unanswered := n.askLeader(id, wait, ask, func(a replicaAnswer) bool {
+	unanswered := n.askLeader(id, wait, ask, func(a replicaResponse) bool {
 		if a.err != nil {
 			uncertain = uncertain || fault.From(a.err).Run != fault.NotExecuted
 			return false
@@ -150,12 +150,12 @@
 // readCurrentConfig returns the current settings, confirmed by a quorum.
 func (n *Node) readCurrentConfig(wait time.Duration) (*control.ReadReply, *fault.Error) {
 	have := n.conf.Load()
-	ask := func(addr string, wait time.Duration) replicaAnswer {
+	ask := func(addr string, wait time.Duration) replicaResponse {
 		reply, err := n.readConfigFrom(addr, have.version, wait)
-		return replicaAnswer{addr: addr, err: err, code: reply.Code, leader: reply.Leader, reply: reply}
+		return replicaResponse{addr: addr, err: err, code: reply.Code, leader: reply.Leader, reply: reply}
 	}
 	var found *control.ReadReply
-	n.askLeader(configGroup, wait, ask, func(a replicaAnswer) bool {
+	n.askLeader(configGroup, wait, ask, func(a replicaResponse) bool {
 		if a.err != nil || a.code != fault.None {
 			return false
 		}
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -180,11 +180,11 @@
 	s := &route.Snapshot{Services: map[string]*route.Service{}}
 	used := map[string]bool{}
 	addrs := map[string]bool{}
-	add := func(id, addr, domain string, slots int, weight float64, start uint32) *route.Instance {
+	add := func(id, addr, domain string, slots int, weight float64, incarnation uint32) *route.Instance {
 		used[id] = true
 		addrs[addr] = true
-		k := b.stateOf(id, start)
-		in := &route.Instance{ID: id, Addr: addr, Domain: domain, Slots: slots, Weight: weight, Since: k.since, Observed: k.observed}
+		state := b.stateOf(id, incarnation)
+		in := &route.Instance{ID: id, Addr: addr, Domain: domain, Slots: slots, Weight: weight, Since: state.since, Observed: state.observed}
 		in.Observed.SetDraining(false)
 		return in
 	}
@@ -232,24 +232,24 @@
 // establishedSince is the first-seen time of an instance that is not new.
 const establishedSince = -time.Hour
 
-// stateOf returns the state of an instance. A later incarnation of its backend server
+// stateOf returns the state of an incarnation of an instance. A later incarnation of its backend server
 // gets new state, since it is cold and has none of the requests and failures of the
 // previous one. Delayed reports of an earlier incarnation are ignored.
 func (b *viewBuilder) stateOf(id string, incarnation uint32) *instanceState {
-	k := b.instances[id]
-	if k != nil && incarnation <= k.incarnation {
-		return k
+	state := b.instances[id]
+	if state != nil && incarnation <= state.incarnation {
+		return state
 	}
 	since := b.node.clock()
-	if k == nil && since < newInstanceAge {
+	if state == nil && since < newInstanceAge {
 		since = establishedSince
 	}
-	k = &instanceState{incarnation: incarnation, since: since, observed: &route.Observations{}}
-	b.instances[id] = k
-	return k
+	state = &instanceState{incarnation: incarnation, since: since, observed: &route.Observations{}}
+	b.instances[id] = state
+	return state
 }
 
-// pruneInstances forgets the instances that are no longer in the routing table.
+// pruneInstances drops the state of instances that are no longer in the routing table.
 func (b *viewBuilder) pruneInstances(used map[string]bool) {
 	for id := range b.instances {
 		if !used[id] {
