--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -21,8 +21,10 @@
 const (
 	// maxChangeBytes bounds the body of a proposed change.
 	maxChangeBytes = 8 << 20
-	changeTimeout  = 5 * time.Second
-	historyLength  = 20
+	// changeTimeout bounds an operator's change of the settings or read of the current ones.
+	changeTimeout = 5 * time.Second
+	// historyLength is how many changes the history shows.
+	historyLength = 20
 )
 
 // callerRoutes returns the handler for callers and for the node's backend server.
@@ -190,6 +192,7 @@
 	return d
 }
 
+// backendStatus returns the state of the node's backend server and admission gate.
 func (n *Node) backendStatus() BackendStatus {
 	l := n.gate.load()
 	s := BackendStatus{State: "absent", Limit: l.limit, InFlight: l.inflight, Queued: l.queued, Level: int(l.level)}
@@ -239,6 +242,7 @@
 	Replica string `json:"replica,omitempty"`
 }
 
+// serveMembers returns the members of this failure domain, this node first.
 func (n *Node) serveMembers(w http.ResponseWriter, _ *http.Request) {
 	m := n.meta()
 	out := []MemberStatus{{n.id, m.Name, n.opt.Domain, "alive", m.Service, m.State.String(), m.HTTP, m.Admin, m.Replica}}
@@ -248,6 +252,7 @@
 	writeJSON(w, out)
 }
 
+// serveRequests returns the kept traces, filtered by request id and reason if given.
 func (n *Node) serveRequests(w http.ResponseWriter, r *http.Request) {
 	id, reason := r.URL.Query().Get("id"), r.URL.Query().Get("reason")
 	out := []Trace{}
@@ -282,6 +287,7 @@
 	Objective float64 `json:"objective"`
 }
 
+// serveBurn returns this node's part of the error-budget burn report.
 func (n *Node) serveBurn(w http.ResponseWriter, _ *http.Request) {
 	out := BurnReport{Node: n.opt.Name, Domain: n.opt.Domain, Retries: n.stats.retries.Load(), Domains: map[string]bool{}, Refusals: n.stats.refusalsByReason(), Service: n.meta().Service, Overload: n.lastOverload.Load()}
 	tree := n.conf.Load().tree
@@ -334,10 +340,13 @@
 	ID      string `json:"id"`
 	Version uint64 `json:"version,omitempty"`
 	Reason  string `json:"reason"`
+	// Winner is the ID of the change that was accepted on the same base, if this one
+	// conflicts, and Current the version after this change was decided.
 	Winner  string `json:"winner,omitempty"`
 	Current uint64 `json:"current"`
 }
 
+// serveChange submits a proposed change of the settings and returns its outcome.
 func (n *Node) serveChange(w http.ResponseWriter, r *http.Request) {
 	var req ChangeRequest
 	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxChangeBytes))
@@ -374,6 +383,7 @@
 	writeJSON(w, ChangeResult{res.ID, res.Version, res.Code.String(), res.Winner, res.Current})
 }
 
+// serveExplain returns the effective settings of a scope with the origin of each value.
 func (n *Node) serveExplain(w http.ResponseWriter, r *http.Request) {
 	out, err := n.conf.Load().tree.Explain(r.URL.Query().Get("scope"))
 	if err != nil {
@@ -383,6 +393,7 @@
 	writeJSON(w, out)
 }
 
+// serveHistory returns the latest changes that this node keeps, oldest first.
 func (n *Node) serveHistory(w http.ResponseWriter, _ *http.Request) {
 	changes := n.conf.Load().changes
 	if over := len(changes) - historyLength; over > 0 {
@@ -391,6 +402,7 @@
 	writeJSON(w, changes)
 }
 
+// serveForm forms the replica groups with this node's replica as their first member.
 func (n *Node) serveForm(w http.ResponseWriter, _ *http.Request) {
 	if err := n.replicas.formGroups(); err != nil {
 		writeProblem(w, "", fault.From(err))
@@ -400,6 +412,7 @@
 	writeJSON(w, n.replicas.status())
 }
 
+// serveDrain drains this node or, with on=false, ends its drain.
 func (n *Node) serveDrain(w http.ResponseWriter, r *http.Request) {
 	on := r.URL.Query().Get("on") != "false"
 	e := nodeEventUndrain
--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -246,9 +246,12 @@
 	}
 }
 
+// The options of the HTTP client of a backend server.
 const (
-	backendIdleTimeout    = 30 * time.Second
-	backendDialTimeout    = 500 * time.Millisecond
+	backendIdleTimeout = 30 * time.Second
+	backendDialTimeout = 500 * time.Millisecond
+	// backendSilenceTimeout is the interval at which requests in flight check that the
+	// backend server accepts connections.
 	backendSilenceTimeout = time.Second
 )
 
--- a/internal/node/call.go
+++ b/internal/node/call.go
@@ -27,7 +27,8 @@
 	rootTarget string
 	target     string
 	service    string
-	rank       rank.Rank
+	// rank is the request's position in the shedding order.
+	rank rank.Rank
 	// depth is 0 for a request that a caller sent, and grows with each nested call.
 	depth uint8
 	// fromRetry is set if the call descends from an attempt that was itself a retry.
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -15,18 +15,23 @@
 // controlServer serves the control requests of other nodes over net/rpc and holds
 // the connections and state for this node's own.
 type controlServer struct {
-	node     *Node
-	pool     *control.Pool
-	counter  control.ByteCounter
+	node *Node
+	// pool holds the connections to other nodes. counter counts the bytes of these and of
+	// the accepted ones.
+	pool    *control.Pool
+	counter control.ByteCounter
+	// links is the state of the exchanges with other failure domains.
 	links    *links.State
 	contacts recentContacts
 	rpc      *rpc.Server
 
+	// mu guards the listener and the accepted connections.
 	mu    sync.Mutex
 	ln    net.Listener
 	conns map[net.Conn]struct{}
 }
 
+// newControlServer returns a server that does not accept connections yet.
 func newControlServer(n *Node) *controlServer {
 	s := &controlServer{node: n, links: links.New(), rpc: rpc.NewServer(), conns: map[net.Conn]struct{}{}}
 	s.pool = control.NewPool(&s.counter, func(addr string, timeout time.Duration) (net.Conn, error) { return n.dial(addr, timeout) })
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -151,25 +151,25 @@
 // attachToParent makes the call a nested call of the execution with the given token. It
 // returns a Canceled error if there is no such execution (any more).
 func (n *Node) attachToParent(c *call, token string) *fault.Error {
-	w := n.executionOf(token)
-	if w == nil {
+	parent := n.executionOf(token)
+	if parent == nil {
 		return fault.New(fault.Canceled, "the request that this call belongs to has ended")
 	}
-	c.id = w.call.id
-	c.attachTo(w, c.policy.Deadline)
+	c.id = parent.call.id
+	c.attachTo(parent, c.policy.Deadline)
 	return nil
 }
 
-// attachTo makes the call a nested call of w: it inherits the deadline, rank and retry budget.
-func (c *call) attachTo(w *execution, allowed time.Duration) {
-	parent := w.call
-	c.parent = w
-	c.rootTarget = parent.rootTarget
-	c.rank = parent.rank
-	c.depth = w.nestedCallDepth()
-	c.fromRetry = parent.fromRetry
-	c.scope = w.scope.Child(c.started.Add(allowed))
-	c.retryBudget = parent.retryBudget
+// attachTo makes the call a nested call of parent: it inherits the deadline, rank and retry budget.
+func (c *call) attachTo(parent *execution, allowed time.Duration) {
+	parentCall := parent.call
+	c.parent = parent
+	c.rootTarget = parentCall.rootTarget
+	c.rank = parentCall.rank
+	c.depth = parent.nestedCallDepth()
+	c.fromRetry = parentCall.fromRetry
+	c.scope = parent.scope.Child(c.started.Add(allowed))
+	c.retryBudget = parentCall.retryBudget
 }
 
 // readBody reads a small body into memory so that a retry can send it again, and prepares a
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -22,9 +22,12 @@
 	suspicionTimeout   = 2 * time.Second
 	// departedRetention is how long a leaving or dead member is kept.
 	departedRetention = 30 * time.Second
-	indirectProbes    = 3
-	maxPacketBytes    = 1100
-	maxDatagramBytes  = 16 << 10
+	// indirectProbes is how many members are asked to probe one that does not respond.
+	indirectProbes = 3
+	// maxPacketBytes bounds the records in one sent gossip packet, and maxDatagramBytes a
+	// received datagram.
+	maxPacketBytes   = 1100
+	maxDatagramBytes = 16 << 10
 	// nudgeFanout is how many random members receive urgent records at once.
 	nudgeFanout         = 3
 	packetQueueSize     = 1024
@@ -77,6 +80,7 @@
 	syncScheduler *discovery.Core
 }
 
+// newGossiper returns a gossiper for the node, which run starts.
 func newGossiper(n *Node) *gossiper {
 	self := gossip.Member{ID: n.id, Addr: n.opt.AdvertiseControl}
 	core := gossip.New(self, gossip.Options{
--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -14,12 +14,15 @@
 )
 
 const (
+	// raftTickInterval is the unit of the constants in ticks.
 	raftTickInterval = 25 * time.Millisecond
 	electionTicks    = 20
 	heartbeatTicks   = 3
+	// maxAppendEntries bounds the entries in one raft message.
 	maxAppendEntries = 256
 	inboxSize        = 4096
-	maxInboxBatch    = 512
+	// maxInboxBatch bounds the queued functions that run before their effects are saved.
+	maxInboxBatch = 512
 	// compactionThreshold is the log length, in entries, that triggers a snapshot.
 	compactionThreshold = 4096
 	// membershipCheckTicks is the number of ticks between checks of a healthy
@@ -37,20 +40,25 @@
 // core, the state machine and the fields that are not atomic; the log writer owns
 // the files.
 type group struct {
-	id             int
-	replicas       *replicas
-	core           *raft.Core
-	writer         *logWriter
-	sm             stateMachine
-	inbox          *ring.Ring[func()]
+	id       int
+	replicas *replicas
+	core     *raft.Core
+	writer   *logWriter
+	sm       stateMachine
+	inbox    *ring.Ring[func()]
+	// proposals holds the pending proposals by log index, and pendingReads the pending
+	// reads by ID. unappliedReads are the reads whose index has not been applied yet.
 	proposals      map[uint64]pendingProposal
 	pendingReads   map[uint64]chan raft.ReadResult
 	unappliedReads []raft.ReadResult
 	lastReadID     uint64
 	ticks          int
-	role           raft.Role
-	chartState     chart.State
-	failed         bool
+	// role is the core's role when publishStatus last ran, and chartState the
+	// corresponding state in the replica chart.
+	role       raft.Role
+	chartState chart.State
+	// failed is set after a disk error, which stops the replica.
+	failed bool
 	// compacting reports whether a compaction is being written.
 	compacting bool
 	// stall records which disks are stalled.
@@ -111,8 +119,8 @@
 		case f := <-g.inbox.C():
 			f()
 			g.drainInbox()
-		case w := <-g.writer.results.C():
-			g.completeWrite(w)
+		case result := <-g.writer.results.C():
+			g.completeWrite(result)
 		case <-t.C:
 			g.tick()
 		}
@@ -236,17 +244,17 @@
 	if e.Type == raft.EntryData && len(e.Data) > 0 {
 		result = g.sm.apply(e.Data)
 	}
-	w, ok := g.proposals[e.Index]
+	pending, ok := g.proposals[e.Index]
 	if !ok {
 		return
 	}
 	delete(g.proposals, e.Index)
-	if w.term != e.Term {
+	if pending.term != e.Term {
 		// Another leader's entry took this index, so the command was not committed here.
-		close(w.done)
+		close(pending.done)
 		return
 	}
-	w.done <- result
+	pending.done <- result
 }
 
 // completeReads completes the reads that failed or whose index has been applied.
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -17,6 +17,7 @@
 	"github.com/umberthread/umberthread/settings"
 )
 
+// freeAddr returns a local address with a free port.
 func freeAddr(t testing.TB) string {
 	t.Helper()
 	addr, err := sock.FreeAddr()
@@ -36,6 +37,8 @@
 // first.
 const maxStartAttempts = 3
 
+// startNode starts a node on free ports, with options that change may modify, and closes it after
+// the test.
 func startNode(t testing.TB, domain string, bootstrap []string, change func(*Options)) *testNode {
 	t.Helper()
 	var err error
@@ -62,6 +65,7 @@
 	return nil
 }
 
+// startStandin starts a stand-in for a node's backend server, which announces itself to the node.
 func startStandin(t testing.TB, n *testNode, service string, slots int, kinds map[string]standin.Kind) *standin.Server {
 	t.Helper()
 	s, err := standin.Start(standin.Options{
@@ -87,6 +91,7 @@
 	}
 }
 
+// httpResult is a response with its whole body, or the error of the request.
 type httpResult struct {
 	status int
 	header http.Header
--- a/internal/node/http_adapter.go
+++ b/internal/node/http_adapter.go
@@ -90,8 +90,8 @@
 		allowed = min(allowed, callerReq.Remaining)
 	}
 	c.header = append(endToEndFields(r.Header), wireField{Name: originalHostField, Value: r.Host})
-	if w := n.executionOf(callerReq.Parent); w != nil {
-		c.attachTo(w, allowed)
+	if parent := n.executionOf(callerReq.Parent); parent != nil {
+		c.attachTo(parent, allowed)
 		return c, nil
 	}
 	if n.stopping() && n.clock() > n.entryDeadline() {
--- a/internal/node/input_test.go
+++ b/internal/node/input_test.go
@@ -26,6 +26,8 @@
 deadline = "400ms"
 `
 
+// startDocVault starts a node with a backend server that has a request kind for large bodies and
+// one for small ones.
 func startDocVault(t *testing.T) (*testNode, *standin.Server) {
 	n := startNode(t, "suva-a", nil, nil)
 	useSettings(t, inputSettings, n)
--- a/internal/node/log_writer.go
+++ b/internal/node/log_writer.go
@@ -49,6 +49,7 @@
 	err error
 }
 
+// newLogWriter returns a writer for a log, which it owns; run executes the jobs.
 func newLogWriter(log replicaLog) *logWriter {
 	return &logWriter{log: log, jobs: ring.New[writeJob](writerQueueSize), results: ring.New[writeResult](writerQueueSize)}
 }
@@ -85,11 +86,11 @@
 		select {
 		case <-g.replicas.node.stop:
 			return fault.New(fault.Draining, "the node is stopping")
-		case w := <-g.writer.results.C():
-			if w.job.reset == reset {
-				return w.err
+		case result := <-g.writer.results.C():
+			if result.job.reset == reset {
+				return result.err
 			}
-			g.completeWrite(w)
+			g.completeWrite(result)
 		}
 	}
 }
--- a/internal/node/membership_view.go
+++ b/internal/node/membership_view.go
@@ -53,6 +53,7 @@
 	observed *route.Observations
 }
 
+// newViewBuilder returns a viewBuilder without members.
 func newViewBuilder(n *Node) *viewBuilder {
 	return &viewBuilder{
 		node: n, members: map[string]*memberView{}, summaries: map[string]member.Summary{}, links: map[string]member.Link{},
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -35,6 +35,7 @@
 	"github.com/umberthread/umberthread/route"
 )
 
+// wireField is a header field as it is sent between nodes.
 type wireField = wire.Field
 
 // Node is the state of one daemon process. Its exported methods are safe for
@@ -500,13 +501,13 @@
 	if !ok {
 		v, _ = n.bulkheads.LoadOrStore(c.service, &admission.Bulkhead{})
 	}
-	w := v.(*admission.Bulkhead)
+	bulkhead := v.(*admission.Bulkhead)
 	be := n.local.Load()
 	if be == nil {
-		w.ForceAcquire()
-		return w, true
+		bulkhead.ForceAcquire()
+		return bulkhead, true
 	}
-	return w, w.TryAcquire(be.slots, c.policy.ShareMax, c.rank)
+	return bulkhead, bulkhead.TryAcquire(be.slots, c.policy.ShareMax, c.rank)
 }
 
 // reportEjection logs, once for each ejection, that an instance was ejected from routing
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -174,6 +174,7 @@
 	return o.checkDurations()
 }
 
+// checkDurations validates the settings that are durations.
 func (o *Options) checkDurations() error {
 	const lo, hi = 100 * time.Millisecond, time.Hour
 	if o.Sweep.Duration < time.Millisecond || o.Heartbeat.Duration < time.Millisecond || o.StopNotice.Duration < 0 {
--- a/internal/node/overload_model_test.go
+++ b/internal/node/overload_model_test.go
@@ -68,12 +68,14 @@
 // modelUpstreamWork is the mean work in the middle services before the calls.
 var modelUpstreamWork = [modelKinds]time.Duration{0, 400 * time.Millisecond, 400 * time.Millisecond}
 
+// modelEvent is a function to run at a virtual time. Events at the same time run by seq.
 type modelEvent struct {
 	at  time.Duration
 	seq int
 	run func()
 }
 
+// eventQueue is a heap of events, earliest first.
 type eventQueue []modelEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -89,6 +91,7 @@
 	return e
 }
 
+// schedule runs do after a delay in virtual time.
 func (m *fleetModel) schedule(d time.Duration, do func()) {
 	m.seq++
 	heap.Push(&m.events, modelEvent{m.now + d, m.seq, do})
@@ -114,6 +117,7 @@
 	retried   bool
 }
 
+// newFleetModel returns a model with a server of the deepest service for each given speed.
 func newFleetModel(seed uint64, slots int, speeds ...float64) *fleetModel {
 	m := &fleetModel{rng: rand.New(rand.NewPCG(seed, seed))}
 	for _, speed := range speeds {
@@ -140,10 +144,12 @@
 	m.schedule(0, next)
 }
 
+// isCounted reports whether a request started within the counted period.
 func (m *fleetModel) isCounted(r *modelRequest) bool {
 	return r.startedAt >= m.countFrom && (m.countUntil == 0 || r.startedAt < m.countUntil)
 }
 
+// run processes the events before until and advances the virtual time to it.
 func (m *fleetModel) run(until time.Duration) {
 	for len(m.events) > 0 && m.events[0].at < until {
 		e := heap.Pop(&m.events).(modelEvent)
@@ -153,6 +159,7 @@
 	m.now = until
 }
 
+// arrive handles the arrival of a request at a random entry node.
 func (m *fleetModel) arrive(r *modelRequest) {
 	r.rank = rank.Make(modelKindClasses[r.kind], uint8(m.rng.IntN(rank.Cohorts)))
 	r.entry = m.rng.IntN(modelEntries)
@@ -236,6 +243,7 @@
 	})
 }
 
+// startWork simulates the execution of an admitted call, after which waiting calls are admitted.
 func (m *fleetModel) startWork(s *deepServer, w *admission.Waiter) {
 	kind := s.kinds[w]
 	slow := 1.0
@@ -259,6 +267,7 @@
 	})
 }
 
+// finishWork delivers the outcome of a call after the delay of a hop.
 func (m *fleetModel) finishWork(s *deepServer, w *admission.Waiter, code fault.Code) {
 	done := s.callbacks[w]
 	delete(s.callbacks, w)
@@ -352,6 +361,7 @@
 	}
 }
 
+// shareOfSent returns a count of a request kind as a share of the requests sent.
 func (c *totals) shareOfSent(n [modelKinds]int, kind int) float64 {
 	return float64(n[kind]) / float64(c.sent[kind])
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -11,7 +11,8 @@
 
 const (
 	peerDialTimeout = 500 * time.Millisecond
-	peerMaxIdle     = 256
+	// peerMaxIdle bounds the idle connections to one peer.
+	peerMaxIdle = 256
 )
 
 // peerClients holds the connections to the nodes to which this one sends requests. It is safe
--- a/internal/node/quarantine_terminations.go
+++ b/internal/node/quarantine_terminations.go
@@ -25,15 +25,15 @@
 // recordBroken records a request whose connection to an incarnation of the backend server
 // broke.
 func (q *quarantineManager) recordBroken(incarnation uint32, c *call) {
-	w := newInFlightRequest(incarnation, c)
+	request := newInFlightRequest(incarnation, c)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	w.brokenAt = q.n.clock()
+	request.brokenAt = q.n.clock()
 	if len(q.brokenRequests) < maxBrokenRequests {
-		q.brokenRequests = append(q.brokenRequests, w)
+		q.brokenRequests = append(q.brokenRequests, request)
 		return
 	}
-	q.brokenRequests[q.nextBroken] = w
+	q.brokenRequests[q.nextBroken] = request
 	q.nextBroken = (q.nextBroken + 1) % maxBrokenRequests
 }
 
@@ -104,14 +104,14 @@
 func (q *quarantineManager) requestsInFlight(incarnation uint32) []inFlightRequest {
 	var out []inFlightRequest
 	since := q.n.clock() - brokenConnectionWindow
-	for _, w := range q.brokenRequests {
-		if w.incarnation == incarnation && w.brokenAt >= since {
-			out = append(out, w)
+	for _, request := range q.brokenRequests {
+		if request.incarnation == incarnation && request.brokenAt >= since {
+			out = append(out, request)
 		}
 	}
 	q.n.executionsByToken.Range(func(_, v any) bool {
-		if w := v.(*execution); w.incarnation == incarnation {
-			out = append(out, newInFlightRequest(incarnation, w.call))
+		if running := v.(*execution); running.incarnation == incarnation {
+			out = append(out, newInFlightRequest(incarnation, running.call))
 		}
 		return true
 	})
@@ -129,14 +129,14 @@
 	var out []uint64
 	seen := longInFlightFingerprints(requests)
 	seen[0] = true
-	for _, w := range requests[:min(len(requests), maxTerminationRequests)] {
-		for _, fingerprint := range []quarantine.Fingerprint{w.fingerprints.Content, w.fingerprints.Caller} {
+	for _, request := range requests[:min(len(requests), maxTerminationRequests)] {
+		for _, fingerprint := range []quarantine.Fingerprint{request.fingerprints.Content, request.fingerprints.Caller} {
 			if seen[fingerprint] || q.responses.AnsweredRecently(now, fingerprint) {
 				continue
 			}
 			seen[fingerprint] = true
 			out = append(out, uint64(fingerprint))
-			q.describeFingerprint(fingerprint, w)
+			q.describeFingerprint(fingerprint, request)
 		}
 	}
 	return out
@@ -147,13 +147,13 @@
 func longInFlightFingerprints(requests []inFlightRequest) map[quarantine.Fingerprint]bool {
 	oldest, newest := map[quarantine.Fingerprint]time.Time{}, map[quarantine.Fingerprint]time.Time{}
 	count := map[quarantine.Fingerprint]int{}
-	for _, w := range requests {
-		for _, fingerprint := range []quarantine.Fingerprint{w.fingerprints.Content, w.fingerprints.Caller} {
-			if count[fingerprint] == 0 || w.startedAt.Before(oldest[fingerprint]) {
-				oldest[fingerprint] = w.startedAt
+	for _, request := range requests {
+		for _, fingerprint := range []quarantine.Fingerprint{request.fingerprints.Content, request.fingerprints.Caller} {
+			if count[fingerprint] == 0 || request.startedAt.Before(oldest[fingerprint]) {
+				oldest[fingerprint] = request.startedAt
 			}
-			if count[fingerprint] == 0 || w.startedAt.After(newest[fingerprint]) {
-				newest[fingerprint] = w.startedAt
+			if count[fingerprint] == 0 || request.startedAt.After(newest[fingerprint]) {
+				newest[fingerprint] = request.startedAt
 			}
 			count[fingerprint]++
 		}
@@ -169,11 +169,11 @@
 
 // describeFingerprint keeps a request's target and path to describe a fingerprint. The lock is
 // held.
-func (q *quarantineManager) describeFingerprint(fingerprint quarantine.Fingerprint, w inFlightRequest) {
+func (q *quarantineManager) describeFingerprint(fingerprint quarantine.Fingerprint, request inFlightRequest) {
 	if len(q.fingerprintDescriptions) >= maxDescribedFingerprints {
 		clear(q.fingerprintDescriptions)
 	}
-	q.fingerprintDescriptions[fingerprint] = w.target + truncate(w.path, maxShownPath)
+	q.fingerprintDescriptions[fingerprint] = request.target + truncate(request.path, maxShownPath)
 }
 
 // fingerprintLabel returns a fingerprint in hexadecimal, with a request's description if this
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -99,6 +99,7 @@
 	return c
 }
 
+// allServers returns the current backend server of each node.
 func (c *crashFleet) allServers() []*standin.Server {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,6 +113,8 @@
 	return append([]time.Time(nil), c.poisonRuns...)
 }
 
+// startServer starts the backend server of the node with index i at an address, retrying for
+// five seconds, as the address may still be in use.
 func (c *crashFleet) startServer(n *testNode, i int, service, addr string) *standin.Server {
 	kinds := map[string]standin.Kind{
 		"open": {Time: 20 * time.Millisecond}, "confirm": {Time: 20 * time.Millisecond}, "day": {Time: 20 * time.Millisecond},
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -10,6 +10,8 @@
 
 // requestCounters holds the node's counters for status and expvar.
 type requestCounters struct {
+	// inflight is the number of requests in progress from callers and from the local
+	// backend server.
 	inflight atomic.Int64
 	// firstAttempts counts the first attempts of calls, and retries the others.
 	firstAttempts atomic.Int64
@@ -26,6 +28,7 @@
 	controlBytesIn  atomic.Int64
 }
 
+// countRefusal counts a refusal or failure with the given code.
 func (s *requestCounters) countRefusal(c fault.Code) { s.refusals[c].Add(1) }
 
 // refusalsByReason returns the refusals by name of their fault code, without zeros.
@@ -78,6 +81,7 @@
 	size  int
 }
 
+// newRecentItems returns an empty buffer for size items.
 func newRecentItems[T any](size int) *recentItems[T] { return &recentItems[T]{size: size} }
 
 // add appends an item, in place of the oldest one if the buffer is full.
