--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -149,7 +149,7 @@
 const maxIDLen = 128
 
 // attachToParent makes the call a nested call of the execution with the given token. It
-// returns a Canceled error if there is no such execution (any more).
+// returns a Canceled error if there is no such execution, or none any more.
 func (n *Node) attachToParent(c *call, token string) *fault.Error {
 	parent := n.executionOf(token)
 	if parent == nil {
@@ -160,7 +160,8 @@
 	return nil
 }
 
-// attachTo makes the call a nested call of parent: it inherits the deadline, rank and retry budget.
+// attachTo makes the call a nested call of parent. The call inherits its rank and retry budget,
+// and its deadline as an upper bound of its own.
 func (c *call) attachTo(parent *execution, allowed time.Duration) {
 	parentCall := parent.call
 	c.parent = parent
--- a/internal/node/idempotency.go
+++ b/internal/node/idempotency.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// writeStoredOutcome answers a resend from the stored outcome of an earlier execution.
+// writeStoredOutcome responds to a resend with the stored outcome of an earlier execution.
 func (n *Node) writeStoredOutcome(w http.ResponseWriter, c *call, out *claims.Outcome) {
 	if out == nil {
 		n.refuse(w, c, fault.New(fault.Internal, "the stored outcome is empty").WithUnknownExecution())
--- a/internal/node/membership_view.go
+++ b/internal/node/membership_view.go
@@ -233,9 +233,10 @@
 // establishedSince is the first-seen time of an instance that is not new.
 const establishedSince = -time.Hour
 
-// stateOf returns the state of an incarnation of an instance. A later incarnation of its backend server
-// gets new state, since it is cold and has none of the requests and failures of the
-// previous one. Delayed reports of an earlier incarnation are ignored.
+// stateOf returns the state of an instance whose backend server is reported to be of an
+// incarnation. A later incarnation gets new state, since it is cold and has none of the
+// requests and failures of the previous one. Delayed reports of an earlier incarnation
+// are ignored.
 func (b *viewBuilder) stateOf(id string, incarnation uint32) *instanceState {
 	state := b.instances[id]
 	if state != nil && incarnation <= state.incarnation {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -237,7 +237,7 @@
 }
 
 // startTask runs a background task, for which Close and Stop wait. The task must end
-// once n.stop is closed. The name is for readers of the code only.
+// once n.stop is closed. The first parameter, the task's name, is not used.
 func (n *Node) startTask(_ string, run func()) {
 	n.wg.Add(1)
 	go func() {
@@ -288,7 +288,7 @@
 // lostPeerPingTimeout bounds one ping of an unreachable node.
 const lostPeerPingTimeout = 300 * time.Millisecond
 
-// probeLostPeersLoop pings unreachable nodes until they answer.
+// probeLostPeersLoop pings unreachable nodes until they respond.
 func (n *Node) probeLostPeersLoop() {
 	n.runEvery(maintenanceInterval, func(time.Time) { n.peers.probeUnreachable(lostPeerPingTimeout) })
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -26,14 +26,14 @@
 }
 
 // markUnreachable records that the node at an address cannot be reached. It gets no requests
-// until it answers a ping.
+// until it responds to a ping.
 func (p *peerClients) markUnreachable(addr string, observed *route.Observations) {
 	observed.SetUnreachable(true)
 	p.unreachable.Store(addr, observed)
 }
 
-// probeUnreachable pings all unreachable addresses in parallel, and returns those that answer
-// to routing.
+// probeUnreachable pings all unreachable addresses in parallel, and lets routing use those
+// that respond again.
 func (p *peerClients) probeUnreachable(timeout time.Duration) {
 	var wg sync.WaitGroup
 	p.unreachable.Range(func(k, v any) bool {
