--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -14,12 +14,15 @@
 )
 
 const (
+	// raftTickInterval is the unit of the constants in ticks.
 	raftTickInterval = 25 * time.Millisecond
 	electionTicks    = 20
 	heartbeatTicks   = 3
+	// maxAppendEntries bounds the entries in one raft message.
 	maxAppendEntries = 256
 	inboxSize        = 4096
-	maxInboxBatch    = 512
+	// maxInboxBatch bounds the queued functions that run before their effects are saved.
+	maxInboxBatch = 512
 	// compactionThreshold is the log length, in entries, that triggers a snapshot.
 	compactionThreshold = 4096
 	// membershipCheckTicks is the number of ticks between checks of a healthy
@@ -37,20 +40,25 @@
 // core, the state machine and the fields that are not atomic; the log writer owns
 // the files.
 type group struct {
-	id             int
-	replicas       *replicas
-	core           *raft.Core
-	writer         *logWriter
-	sm             stateMachine
-	inbox          *ring.Ring[func()]
+	id       int
+	replicas *replicas
+	core     *raft.Core
+	writer   *logWriter
+	sm       stateMachine
+	inbox    *ring.Ring[func()]
+	// proposals holds the pending proposals by log index, and pendingReads the pending
+	// reads by ID. unappliedReads are the reads whose index has not been applied yet.
 	proposals      map[uint64]pendingProposal
 	pendingReads   map[uint64]chan raft.ReadResult
 	unappliedReads []raft.ReadResult
 	lastReadID     uint64
 	ticks          int
-	role           raft.Role
-	chartState     chart.State
-	failed         bool
+	// role is the core's role when publishStatus last ran, and chartState the
+	// corresponding state in the replica chart.
+	role       raft.Role
+	chartState chart.State
+	// failed is set after a disk error, which stops the replica.
+	failed bool
 	// compacting reports whether a compaction is being written.
 	compacting bool
 	// stall records which disks are stalled.
@@ -70,7 +78,7 @@
 	vulnerableSince time.Time
 	lastRepairTime  atomic.Int64
 	// saveTime is how long the save in progress has taken, in nanoseconds. stalled
-	// reports, on the leader, whether too few disks answer for a quorum.
+	// reports, on the leader, whether too few disks respond for a quorum.
 	saveTime atomic.Int64
 	stalled  atomic.Bool
 }
@@ -99,7 +107,7 @@
 }
 
 // run is the group's background task. It never waits for the disk, so a replica
-// with a stalled disk still answers messages.
+// with a stalled disk still responds to messages.
 func (g *group) run() {
 	t := time.NewTicker(raftTickInterval)
 	defer t.Stop()
@@ -111,8 +119,8 @@
 		case f := <-g.inbox.C():
 			f()
 			g.drainInbox()
-		case w := <-g.writer.results.C():
-			g.completeWrite(w)
+		case result := <-g.writer.results.C():
+			g.completeWrite(result)
 		case <-t.C:
 			g.tick()
 		}
@@ -162,18 +170,19 @@
 	g.proposeMembershipChange(members, opt)
 }
 
-// trackFailureTolerance records for how long the group could not tolerate a failure.
-func (g *group) trackFailureTolerance(bears bool) {
+// trackFailureTolerance records whether the group tolerates a failure and, once it does
+// again, for how long it did not.
+func (g *group) trackFailureTolerance(tolerates bool) {
 	switch {
-	case !bears && g.vulnerableSince.IsZero():
+	case !tolerates && g.vulnerableSince.IsZero():
 		g.vulnerableSince = time.Now()
-	case bears && !g.vulnerableSince.IsZero():
+	case tolerates && !g.vulnerableSince.IsZero():
 		took := time.Since(g.vulnerableSince)
 		g.vulnerableSince = time.Time{}
 		g.lastRepairTime.Store(int64(took))
 		g.replicas.node.logEvent("replica", "Group "+formatUint(uint64(g.id))+": tolerates a replica failure again after "+took.Round(time.Millisecond).String()+".")
 	}
-	g.toleratesFailure.Store(bears)
+	g.toleratesFailure.Store(tolerates)
 }
 
 // processReady carries out the core's pending work in the order that raft's
@@ -235,17 +244,17 @@
 	if e.Type == raft.EntryData && len(e.Data) > 0 {
 		result = g.sm.apply(e.Data)
 	}
-	w, ok := g.proposals[e.Index]
+	pending, ok := g.proposals[e.Index]
 	if !ok {
 		return
 	}
 	delete(g.proposals, e.Index)
-	if w.term != e.Term {
+	if pending.term != e.Term {
 		// Another leader's entry took this index, so the command was not committed here.
-		close(w.done)
+		close(pending.done)
 		return
 	}
-	w.done <- result
+	pending.done <- result
 }
 
 // completeReads completes the reads that failed or whose index has been applied.
@@ -332,7 +341,7 @@
 	for _, p := range append(append([]raft.Peer(nil), conf.Voters...), conf.Learners...) {
 		if ticks, lag, ok := g.core.PeerStatus(p.ID); ok {
 			if conf.IsVoter(p.ID) {
-				// A voter whose disk confirms nothing counts as silent; a learner may
+				// A voter whose disk confirms nothing counts as unresponsive; a learner may
 				// be loading a large snapshot.
 				ticks = max(ticks, g.core.UnsavedTicks(p.ID))
 			}
@@ -371,35 +380,35 @@
 // propose commits a command and returns its result. The error's Run says whether
 // the command may have been applied.
 func (g *group) propose(command []byte, wait time.Duration) ([]byte, error) {
-	type start struct {
+	type proposalStart struct {
 		result []byte
 		err    error
 	}
-	started := make(chan start, 1)
+	started := make(chan proposalStart, 1)
 	done := make(chan []byte, 1)
 	ok := g.enqueue(func() {
 		if g.core.Role() != raft.Leader || g.failed {
-			started <- start{err: fault.New(fault.NotLeader, "this replica does not lead")}
+			started <- proposalStart{err: fault.New(fault.NotLeader, "this replica does not lead")}
 			return
 		}
 		if voters := len(g.core.Conf().Voters); voters < g.replicas.node.opt.MinVoters {
-			started <- start{err: fault.Newf(fault.NoQuorum, "the group has %d of %d replicas", voters, g.replicas.node.opt.MinVoters)}
+			started <- proposalStart{err: fault.Newf(fault.NoQuorum, "the group has %d of %d replicas", voters, g.replicas.node.opt.MinVoters)}
 			return
 		}
 		if g.stall.lacksQuorum {
-			started <- start{err: fault.New(fault.NoQuorum, "the disks of too many replicas do not answer")}
+			started <- proposalStart{err: fault.New(fault.NoQuorum, "the disks of too many replicas do not answer")}
 			return
 		}
 		result, err := g.sm.precheck(command)
 		if err != nil || result != nil {
-			started <- start{result, err}
+			started <- proposalStart{result, err}
 			return
 		}
 		index, term, err := g.core.Propose(command)
 		if err == nil {
 			g.proposals[index] = pendingProposal{term, done}
 		}
-		started <- start{err: err}
+		started <- proposalStart{err: err}
 	})
 	if !ok {
 		return nil, fault.New(fault.Overload, "the replica's inbox is full")
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -17,6 +17,7 @@
 	"github.com/umberthread/umberthread/settings"
 )
 
+// freeAddr returns a local address with a free port.
 func freeAddr(t testing.TB) string {
 	t.Helper()
 	addr, err := sock.FreeAddr()
@@ -36,7 +37,9 @@
 // first.
 const maxStartAttempts = 3
 
-func startNode(t testing.TB, domain string, boot []string, change func(*Options)) *testNode {
+// startNode starts a node on free ports, with options that change may modify, and closes it after
+// the test.
+func startNode(t testing.TB, domain string, bootstrap []string, change func(*Options)) *testNode {
 	t.Helper()
 	var err error
 	for range maxStartAttempts {
@@ -44,7 +47,7 @@
 		o.Name = domain + "-" + newID()[:4]
 		o.Domain = domain
 		o.HTTP, o.Data, o.Control, o.Admin = freeAddr(t), freeAddr(t), freeAddr(t), freeAddr(t)
-		o.Bootstrap = boot
+		o.Bootstrap = bootstrap
 		o.StopTimeout = Duration{5 * time.Second}
 		if change != nil {
 			change(&o)
@@ -62,6 +65,7 @@
 	return nil
 }
 
+// startStandin starts a stand-in for a node's backend server, which announces itself to the node.
 func startStandin(t testing.TB, n *testNode, service string, slots int, kinds map[string]standin.Kind) *standin.Server {
 	t.Helper()
 	s, err := standin.Start(standin.Options{
@@ -87,6 +91,7 @@
 	}
 }
 
+// httpResult is a response with its whole body, or the error of the request.
 type httpResult struct {
 	status int
 	header http.Header
--- a/internal/node/edge.go
+++ b/internal/node/http_adapter.go
@@ -90,8 +90,8 @@
 		allowed = min(allowed, callerReq.Remaining)
 	}
 	c.header = append(endToEndFields(r.Header), wireField{Name: originalHostField, Value: r.Host})
-	if w := n.executionOf(callerReq.Parent); w != nil {
-		c.attachTo(w, allowed)
+	if parent := n.executionOf(callerReq.Parent); parent != nil {
+		c.attachTo(parent, allowed)
 		return c, nil
 	}
 	if n.stopping() && n.clock() > n.entryDeadline() {
@@ -104,12 +104,12 @@
 	return c, nil
 }
 
-// executionOf returns the execution with a token on the local backend server, or nil.
-func (n *Node) executionOf(id string) *execution {
-	if id == "" {
+// executionOf returns the execution with the given token on the local backend server, or nil.
+func (n *Node) executionOf(token string) *execution {
+	if token == "" {
 		return nil
 	}
-	v, ok := n.executionsByToken.Load(id)
+	v, ok := n.executionsByToken.Load(token)
 	if !ok {
 		return nil
 	}
