--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -51,7 +51,7 @@
 	if v, ok := p.m.Load(addr); ok {
 		return v.(*wire.Client)
 	}
-	c := wire.NewClient(addr, wire.ClientOptions{Silence: silence, DialTimeout: peerDialTimeout, MaxIdle: peerMaxIdle, Dialer: p.dial})
+	c := wire.NewClient(addr, wire.ClientOptions{SilenceTimeout: silence, DialTimeout: peerDialTimeout, MaxIdle: peerMaxIdle, Dialer: p.dial})
 	v, _ := p.m.LoadOrStore(addr, c)
 	return v.(*wire.Client)
 }
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -19,7 +19,7 @@
 type ClientOptions struct {
 	// Silence is how long a connection may bring no frame while a request
 	// is in work on it, and how long an idle one may go unused.
-	Silence time.Duration
+	SilenceTimeout time.Duration
 	// DialTimeout bounds the set-up of a connection.
 	DialTimeout time.Duration
 	// MaxIdle is how many idle connections are kept.
@@ -164,7 +164,7 @@
 // arm moves the read deadline to the end of the silence allowed or of the
 // request, whichever is first.
 func (c *Client) arm(conn *clientConn, deadline time.Time) {
-	t := time.Now().Add(c.opt.Silence)
+	t := time.Now().Add(c.opt.SilenceTimeout)
 	if deadline.Before(t) {
 		t = deadline
 	}
@@ -258,7 +258,7 @@
 		if conn == nil {
 			break
 		}
-		if now.Sub(conn.lastUse) < c.opt.Silence && conn.br.Buffered() == 0 && sock.Quiet(conn.Conn) {
+		if now.Sub(conn.lastUse) < c.opt.SilenceTimeout && conn.br.Buffered() == 0 && sock.Quiet(conn.Conn) {
 			return conn, nil
 		}
 		conn.happen(connStale)
@@ -327,7 +327,7 @@
 	var stale, fresh []*clientConn
 	c.mu.Lock()
 	for _, conn := range c.idle {
-		if now.Sub(conn.lastUse) > c.opt.Silence/2 {
+		if now.Sub(conn.lastUse) > c.opt.SilenceTimeout/2 {
 			stale = append(stale, conn)
 		} else {
 			fresh = append(fresh, conn)
@@ -341,7 +341,7 @@
 			continue
 		}
 		conn.happen(connPing)
-		if !conn.ping(c.opt.Silence / 2) {
+		if !conn.ping(c.opt.SilenceTimeout / 2) {
 			conn.happen(connSilent)
 			continue
 		}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -33,7 +33,7 @@
 }
 
 func client(addr string) *Client {
-	return NewClient(addr, ClientOptions{Silence: silence, DialTimeout: time.Second, MaxIdle: 16})
+	return NewClient(addr, ClientOptions{SilenceTimeout: silence, DialTimeout: time.Second, MaxIdle: 16})
 }
 
 // echo answers with the request's id and body.
