--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -414,7 +414,7 @@
 		if _, err := io.ReadFull(x.Body, c.body); err != nil {
 			return nil, bodyFault(err)
 		}
-		x.BodyDone()
+		x.MarkBodyRead()
 	} else {
 		c.stream = io.LimitReader(x.Body, int64(c.policy.BodyMax)+1)
 	}
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -251,7 +251,7 @@
 
 // BodyDone tells that the handler has read the whole body, from when on the
 // sweep may look for a sender that left.
-func (x *Exchange) BodyDone() { x.bodyRead.Store(true) }
+func (x *Exchange) MarkBodyRead() { x.bodyRead.Store(true) }
 
 // Reply answers with a body in memory, or with one that is read from stream
 // if whole is nil. It returns the failure to read or send the body; the
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return
 	}
-	x.BodyDone()
+	x.MarkBodyRead()
 	_ = x.Reply(&Reply{Status: 200, Run: fault.RunYes, Detail: x.Request.ID}, append([]byte{}, body...), nil)
 }
 
@@ -176,7 +176,7 @@
 	ended := make(chan fault.Code, 1)
 	c := client(serve(t, func(x *Exchange) {
 		_, _ = io.ReadAll(x.Body)
-		x.BodyDone()
+		x.MarkBodyRead()
 		for x.Scope.Err() == fault.None {
 			time.Sleep(time.Millisecond)
 		}
