--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -34,7 +34,7 @@
 	// Lease is the part of the retry budget given to this call.
 	Lease uint8
 	// Repeat is set if the request belongs to a run that may have run before.
-	Repeat bool
+	MayHaveExecuted bool
 	// Content and Caller are the request's marks: see package quarantine.
 	Content, Caller uint64
 	// Method and Path are HTTP's; Path includes the query.
@@ -102,7 +102,7 @@
 	b = appendString(b, r.Target)
 	b = binary.AppendVarint(b, int64(r.Remaining/time.Microsecond))
 	b = binary.BigEndian.AppendUint16(b, uint16(r.Rank))
-	b = append(b, r.Depth, r.Lease, flag(r.Repeat))
+	b = append(b, r.Depth, r.Lease, flag(r.MayHaveExecuted))
 	b = binary.BigEndian.AppendUint64(b, r.Content)
 	b = binary.BigEndian.AppendUint64(b, r.Caller)
 	b = appendString(b, r.Method)
@@ -234,7 +234,7 @@
 	r.Depth = d.byte()
 	r.Lease = d.byte()
 	repeat := d.byte()
-	r.Repeat = repeat == 1
+	r.MayHaveExecuted = repeat == 1
 	r.Content = d.uint64()
 	r.Caller = d.uint64()
 	r.Method = d.string()
