--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -80,7 +80,7 @@
 func (p *peers) silent() int64 {
 	var n int64
 	p.m.Range(func(_, v any) bool {
-		n += v.(*wire.Client).Silent()
+		n += v.(*wire.Client).SilentConnections()
 		return true
 	})
 	return n
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -81,7 +81,7 @@
 }
 
 // Silent returns how many connections were found silent.
-func (c *Client) Silent() int64 { return c.silent.Load() }
+func (c *Client) SilentConnections() int64 { return c.silent.Load() }
 
 // Dials returns how many connections were opened.
 func (c *Client) Dials() int64 { return c.dials.Load() }
