--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -46,7 +46,7 @@
 }
 
 // Malformed returns how many connections were closed for malformed frames.
-func (s *Server) Malformed() int64 { return s.malformed.Load() }
+func (s *Server) MalformedConnections() int64 { return s.malformed.Load() }
 
 // Serve accepts connections until the listener is closed.
 func (s *Server) Serve(ln net.Listener) error {
