--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -355,7 +355,7 @@
 	var ferr *fault.Error
 	if r.Code != fault.None {
 		wa.Close()
-		ferr = &fault.Error{Code: r.Code, Run: r.Run, RetryAfter: r.RetryAfter, Detail: r.Detail}
+		ferr = &fault.Error{Code: r.Code, Run: r.Execution, RetryAfter: r.RetryAfter, Detail: r.Detail}
 		a = nil
 	}
 	in.Seen.End(n.clock(), route.Report{
@@ -385,12 +385,12 @@
 	reply.Limit = uint16(min(load.limit, 1<<16-1))
 	if ferr != nil {
 		n.logServed(c, ferr)
-		reply.Code, reply.Run, reply.RetryAfter, reply.Detail = ferr.Code, ferr.Run, ferr.RetryAfter, ferr.Error()
+		reply.Code, reply.Execution, reply.RetryAfter, reply.Detail = ferr.Code, ferr.Run, ferr.RetryAfter, ferr.Error()
 		_ = x.Reply(reply, nil, nil)
 		return
 	}
 	defer a.close()
-	reply.Run = fault.RunYes
+	reply.Execution = fault.RunYes
 	reply.Status = uint16(a.status)
 	reply.Header = a.header
 	reply.BodyLen = a.length
--- a/internal/node/honest_test.go
+++ b/internal/node/honest_test.go
@@ -57,7 +57,7 @@
 	refuses := fakePeer(t, func(x *wire.Exchange) {
 		_, _ = io.ReadAll(x.Body)
 		refused.Add(1)
-		_ = x.Reply(&wire.Reply{Code: fault.Draining, Run: fault.RunNo}, nil, nil)
+		_ = x.Reply(&wire.Reply{Code: fault.Draining, Execution: fault.RunNo}, nil, nil)
 	})
 	instance := func(id, addr string) *route.Instance {
 		return &route.Instance{ID: id, Addr: addr, Slots: 4, Weight: 1, Since: -time.Hour, Seen: &route.Observed{}}
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -52,7 +52,7 @@
 	// Code is fault.None if a backend server answered, else the refusal.
 	Code fault.Code
 	// Run tells whether the request was executed.
-	Run fault.Run
+	Execution fault.Run
 	// Status is the HTTP status that the backend server gave.
 	Status uint16
 	// Spent is how much of the lease was used.
@@ -113,7 +113,7 @@
 
 func (r *Reply) append(b []byte) []byte {
 	b = binary.BigEndian.AppendUint64(b, r.Attempt)
-	b = append(b, byte(r.Code), byte(r.Run), r.Spent)
+	b = append(b, byte(r.Code), byte(r.Execution), r.Spent)
 	b = binary.BigEndian.AppendUint16(b, r.Status)
 	b = binary.BigEndian.AppendUint16(b, uint16(r.Level))
 	b = binary.BigEndian.AppendUint16(b, uint16(r.PathLevel))
@@ -251,7 +251,7 @@
 	d := decoder{s: string(p)}
 	r.Attempt = d.uint64()
 	r.Code = fault.Code(d.byte())
-	r.Run = fault.Run(d.byte())
+	r.Execution = fault.Run(d.byte())
 	r.Spent = d.byte()
 	r.Status = d.uint16()
 	r.Level = rank.Level(d.uint16())
@@ -262,7 +262,7 @@
 	r.Detail = d.string()
 	r.BodyLen = d.varint()
 	r.Header = d.fields()
-	if int(r.Code) >= fault.Count || r.Run > fault.RunYes || r.BodyLen < Streamed || r.Level > rank.Count || r.PathLevel > rank.Count {
+	if int(r.Code) >= fault.Count || r.Execution > fault.RunYes || r.BodyLen < Streamed || r.Level > rank.Count || r.PathLevel > rank.Count {
 		d.bad = true
 	}
 	return d.err()
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -43,7 +43,7 @@
 		return
 	}
 	x.MarkBodyRead()
-	_ = x.Reply(&Reply{Status: 200, Run: fault.RunYes, Detail: x.Request.ID}, append([]byte{}, body...), nil)
+	_ = x.Reply(&Reply{Status: 200, Execution: fault.RunYes, Detail: x.Request.ID}, append([]byte{}, body...), nil)
 }
 
 func send(c *Client, id string, body []byte, limit time.Duration) (string, string, *fault.Error) {
