--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -328,7 +328,7 @@
 	req := &wire.Request{
 		Attempt: n.lastAttemptID.Add(1), ID: c.id, Root: c.root, Target: c.target,
 		Remaining: c.scope.Remaining(), Rank: c.rank, Depth: c.depth, Lease: uint8(lease),
-		MayHaveExecuted: c.repeat || c.attempts-c.free > 1, ContentFingerprint: uint64(c.marks.Content), Caller: uint64(c.marks.Caller),
+		MayHaveExecuted: c.repeat || c.attempts-c.free > 1, ContentFingerprint: uint64(c.marks.Content), CallerFingerprint: uint64(c.marks.Caller),
 		Method: c.method, Path: c.path, BodyLen: c.bodyLen, Header: c.header,
 	}
 	wa, err := n.peers.client(in.Addr, c.policy.Silence).Do(c.scope, req, c.body, c.stream)
@@ -372,7 +372,7 @@
 	c := &call{
 		id: r.ID, root: r.Root, target: r.Target, rank: r.Rank, depth: r.Depth, repeat: r.MayHaveExecuted, scope: x.Scope,
 		method: r.Method, path: r.Path, header: r.Header, bodyLen: r.BodyLen, started: time.Now(),
-		marks: quarantine.Marks{Content: quarantine.Mark(r.ContentFingerprint), Caller: quarantine.Mark(r.Caller)},
+		marks: quarantine.Marks{Content: quarantine.Mark(r.ContentFingerprint), Caller: quarantine.Mark(r.CallerFingerprint)},
 	}
 	c.pool = &budget.Pool{}
 	c.pool.Reset(int(r.Lease))
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -36,7 +36,7 @@
 	// Repeat is set if the request belongs to a run that may have run before.
 	MayHaveExecuted bool
 	// Content and Caller are the request's marks: see package quarantine.
-	ContentFingerprint, Caller uint64
+	ContentFingerprint, CallerFingerprint uint64
 	// Method and Path are HTTP's; Path includes the query.
 	Method, Path string
 	// BodyLen is the body's length in bytes, or Streamed.
@@ -104,7 +104,7 @@
 	b = binary.BigEndian.AppendUint16(b, uint16(r.Rank))
 	b = append(b, r.Depth, r.Lease, flag(r.MayHaveExecuted))
 	b = binary.BigEndian.AppendUint64(b, r.ContentFingerprint)
-	b = binary.BigEndian.AppendUint64(b, r.Caller)
+	b = binary.BigEndian.AppendUint64(b, r.CallerFingerprint)
 	b = appendString(b, r.Method)
 	b = appendString(b, r.Path)
 	b = binary.AppendVarint(b, r.BodyLen)
@@ -236,7 +236,7 @@
 	repeat := d.byte()
 	r.MayHaveExecuted = repeat == 1
 	r.ContentFingerprint = d.uint64()
-	r.Caller = d.uint64()
+	r.CallerFingerprint = d.uint64()
 	r.Method = d.string()
 	r.Path = d.string()
 	r.BodyLen = d.varint()
