--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -349,7 +349,7 @@
 		return nil, ferr
 	}
 	r := &wa.Reply
-	c.pool.Settle(lease, int(r.Spent))
+	c.pool.Settle(lease, int(r.LeaseSpent))
 	n.pathsOf(c).Observe(c.root, c.service, r.PathLevel, n.clock())
 	a := &answer{status: int(r.Status), header: r.Header, length: r.BodyLen, body: wa.Body, close: wa.Close}
 	var ferr *fault.Error
@@ -377,7 +377,7 @@
 	c.pool = &budget.Pool{}
 	c.pool.Reset(int(r.Lease))
 	a, ferr := n.acceptExchange(x, c)
-	reply := &wire.Reply{Spent: uint8(min(c.pool.Spent(), int(r.Lease)))}
+	reply := &wire.Reply{LeaseSpent: uint8(min(c.pool.Spent(), int(r.Lease)))}
 	load := n.gate.load()
 	reply.Level = load.level
 	reply.PathLevel = n.levelBelow(c, load.level)
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -56,7 +56,7 @@
 	// Status is the HTTP status that the backend server gave.
 	Status uint16
 	// Spent is how much of the lease was used.
-	Spent uint8
+	LeaseSpent uint8
 	// Level is the admission level of the answering node.
 	Level rank.Level
 	// PathLevel is the highest level among the answering node and the
@@ -113,7 +113,7 @@
 
 func (r *Reply) append(b []byte) []byte {
 	b = binary.BigEndian.AppendUint64(b, r.Attempt)
-	b = append(b, byte(r.Code), byte(r.Execution), r.Spent)
+	b = append(b, byte(r.Code), byte(r.Execution), r.LeaseSpent)
 	b = binary.BigEndian.AppendUint16(b, r.Status)
 	b = binary.BigEndian.AppendUint16(b, uint16(r.Level))
 	b = binary.BigEndian.AppendUint16(b, uint16(r.PathLevel))
@@ -252,7 +252,7 @@
 	r.Attempt = d.uint64()
 	r.Code = fault.Code(d.byte())
 	r.Execution = fault.Run(d.byte())
-	r.Spent = d.byte()
+	r.LeaseSpent = d.byte()
 	r.Status = d.uint16()
 	r.Level = rank.Level(d.uint16())
 	r.PathLevel = rank.Level(d.uint16())
