--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -20,8 +20,8 @@
 
 	// There and Back cut one direction: bytes and datagrams towards the
 	// target, and from it, vanish. Connections stay open.
-	There, Back atomic.Bool
-	delay       atomic.Int64
+	DropToTarget, Back atomic.Bool
+	delay              atomic.Int64
 
 	mu      sync.Mutex
 	conns   map[*pair]struct{}
@@ -60,7 +60,7 @@
 
 // Cut cuts both directions, or heals them.
 func (r *Relay) Cut(on bool) {
-	r.There.Store(on)
+	r.DropToTarget.Store(on)
 	r.Back.Store(on)
 }
 
@@ -126,7 +126,7 @@
 	r.mu.Unlock()
 	var wg sync.WaitGroup
 	wg.Add(2)
-	go func() { defer wg.Done(); r.pump(p, a, b, &r.There) }()
+	go func() { defer wg.Done(); r.pump(p, a, b, &r.DropToTarget) }()
 	go func() { defer wg.Done(); r.pump(p, b, a, &r.Back) }()
 	wg.Wait()
 	r.mu.Lock()
@@ -171,7 +171,7 @@
 		if err != nil {
 			return
 		}
-		if r.There.Load() {
+		if r.DropToTarget.Load() {
 			continue
 		}
 		if c := r.client(from); c != nil {
--- a/internal/soak/act.go
+++ b/internal/soak/act.go
@@ -85,7 +85,7 @@
 func disturb(l *relay.Relay, k Kind, on bool) {
 	switch k {
 	case CutThere:
-		l.There.Store(on)
+		l.DropToTarget.Store(on)
 	case CutBack:
 		l.Back.Store(on)
 	case CutBoth:
