--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -20,8 +20,8 @@
 
 	// There and Back cut one direction: bytes and datagrams towards the
 	// target, and from it, vanish. Connections stay open.
-	DropToTarget, Back atomic.Bool
-	delay              atomic.Int64
+	DropToTarget, DropFromTarget atomic.Bool
+	delay                        atomic.Int64
 
 	mu      sync.Mutex
 	conns   map[*pair]struct{}
@@ -61,7 +61,7 @@
 // Cut cuts both directions, or heals them.
 func (r *Relay) Cut(on bool) {
 	r.DropToTarget.Store(on)
-	r.Back.Store(on)
+	r.DropFromTarget.Store(on)
 }
 
 // SetDelay delays what is forwarded.
@@ -127,7 +127,7 @@
 	var wg sync.WaitGroup
 	wg.Add(2)
 	go func() { defer wg.Done(); r.pump(p, a, b, &r.DropToTarget) }()
-	go func() { defer wg.Done(); r.pump(p, b, a, &r.Back) }()
+	go func() { defer wg.Done(); r.pump(p, b, a, &r.DropFromTarget) }()
 	wg.Wait()
 	r.mu.Lock()
 	delete(r.conns, p)
@@ -211,7 +211,7 @@
 		if err != nil {
 			return
 		}
-		if !r.Back.Load() {
+		if !r.DropFromTarget.Load() {
 			_, _ = r.udp.WriteToUDP(buf[:n], to)
 		}
 	}
--- a/internal/soak/act.go
+++ b/internal/soak/act.go
@@ -87,7 +87,7 @@
 	case CutThere:
 		l.DropToTarget.Store(on)
 	case CutBack:
-		l.Back.Store(on)
+		l.DropFromTarget.Store(on)
 	case CutBoth:
 		l.Cut(on)
 	case Delay:
