--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -59,7 +59,7 @@
 func (r *Relay) Addr() string { return r.ln.Addr().String() }
 
 // Cut cuts both directions, or heals them.
-func (r *Relay) Cut(on bool) {
+func (r *Relay) SetPartitioned(on bool) {
 	r.DropToTarget.Store(on)
 	r.DropFromTarget.Store(on)
 }
--- a/internal/soak/act.go
+++ b/internal/soak/act.go
@@ -89,7 +89,7 @@
 	case CutBack:
 		l.DropFromTarget.Store(on)
 	case CutBoth:
-		l.Cut(on)
+		l.SetPartitioned(on)
 	case Delay:
 		l.SetDelay(0)
 		if on {
