--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -73,7 +73,7 @@
 		g.Expect(ferr).To(gomega.BeNil())
 		g.Expect(body).To(gomega.Equal("/a in"))
 	}
-	g.Expect(r.SilenceOpen()).To(gomega.Equal(1))
+	g.Expect(r.SilenceConnections()).To(gomega.Equal(1))
 	started := time.Now()
 	_, ferr := get(c, "/b", 10*time.Second)
 	g.Expect(ferr).NotTo(gomega.BeNil())
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -69,7 +69,7 @@
 
 // SilenceOpen makes the connections that are open now silent for good; new
 // ones work. It returns how many there were.
-func (r *Relay) SilenceOpen() int {
+func (r *Relay) SilenceConnections() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p := range r.conns {
--- a/internal/soak/act.go
+++ b/internal/soak/act.go
@@ -52,7 +52,7 @@
 	case s.Kind == Race:
 		r.operators.race(s.Target)
 	case s.Kind == Silence:
-		r.relays(m, func(l *relay.Relay) { l.SilenceOpen() })
+		r.relays(m, func(l *relay.Relay) { l.SilenceConnections() })
 	case s.Kind == Reset:
 		r.relays(m, func(l *relay.Relay) { l.ResetOpen() })
 	case s.Kind == ServerLost:
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -148,7 +148,7 @@
 		_, _, ferr := send(c, "held", []byte("x"), 10*time.Second)
 		failed <- ferr
 	}()
-	g.Eventually(func() int { return r.SilenceOpen() }).Should(gomega.BeNumerically(">=", 1))
+	g.Eventually(func() int { return r.SilenceConnections() }).Should(gomega.BeNumerically(">=", 1))
 	ferr = <-failed
 	g.Expect(ferr).NotTo(gomega.BeNil())
 	g.Expect(ferr.Code).To(gomega.Equal(fault.PeerSilent))
