--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -79,7 +79,7 @@
 }
 
 // ResetOpen closes the connections that are open now; new ones work.
-func (r *Relay) ResetOpen() {
+func (r *Relay) ResetConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p := range r.conns {
--- a/internal/soak/act.go
+++ b/internal/soak/act.go
@@ -54,7 +54,7 @@
 	case s.Kind == Silence:
 		r.relays(m, func(l *relay.Relay) { l.SilenceConnections() })
 	case s.Kind == Reset:
-		r.relays(m, func(l *relay.Relay) { l.ResetOpen() })
+		r.relays(m, func(l *relay.Relay) { l.ResetConnections() })
 	case s.Kind == ServerLost:
 		m.loseServer(s.For, r)
 	case s.Kind == ServerDrain:
