--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay is a small TCP and UDP relay for tests: it stands between two
-// processes and can go silent, lose, delay and cut in one direction.
+// Package relay implements a TCP and UDP proxy that injects network faults in
+// tests: loss in one or both directions, delays, and silent or reset connections.
 package relay
 
 import (
@@ -12,27 +12,30 @@
 	"github.com/umberthread/umberthread/fault"
 )
 
-// Relay forwards to one address. All its settings may change at any time.
+// Relay forwards connections and datagrams to one target address. Its methods
+// and fields are safe for concurrent use.
 type Relay struct {
-	target string
-	ln     net.Listener
-	udp    *net.UDPConn
+	target   string
+	listener net.Listener
+	udp      *net.UDPConn
 
-	// There and Back cut one direction: bytes and datagrams towards the
-	// target, and from it, vanish. Connections stay open.
+	// DropToTarget and DropFromTarget drop the bytes and datagrams of one
+	// direction. Connections stay open; one that lost bytes forwards nothing more
+	// in that direction.
 	DropToTarget, DropFromTarget atomic.Bool
-	delay                        atomic.Int64
+	// delay is in nanoseconds.
+	delay atomic.Int64
 
-	mu      sync.Mutex
-	conns   map[*pair]struct{}
-	clients map[string]*net.UDPConn
-	closed  bool
+	mu         sync.Mutex
+	conns      map[*connPair]struct{}
+	udpSockets map[string]*net.UDPConn
+	closed     bool
 }
 
-// pair is one relayed connection.
-type pair struct {
-	a, b   net.Conn
-	silent atomic.Bool
+// connPair is a client's connection and the matching one to the target.
+type connPair struct {
+	client, target net.Conn
+	silent         atomic.Bool
 }
 
 // Start listens on addr, TCP and UDP, and forwards to target.
@@ -43,32 +46,33 @@
 	}
 	ua, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
-		return nil, fault.Wrap(fault.Internal, err, "bad address")
+		return nil, fault.Wrap(fault.Internal, err, "invalid UDP address")
 	}
 	udp, err := net.ListenUDP("udp", ua)
 	if err != nil {
 		return nil, fault.Wrap(fault.Internal, err, "cannot listen")
 	}
-	r := &Relay{target: target, ln: ln, udp: udp, conns: map[*pair]struct{}{}, clients: map[string]*net.UDPConn{}}
-	go r.accept()
-	go r.datagrams()
+	r := &Relay{target: target, listener: ln, udp: udp, conns: map[*connPair]struct{}{}, udpSockets: map[string]*net.UDPConn{}}
+	go r.acceptLoop()
+	go r.forwardDatagrams()
 	return r, nil
 }
 
-// Addr returns where the relay listens.
-func (r *Relay) Addr() string { return r.ln.Addr().String() }
+// Addr returns the address on which the relay listens.
+func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Cut cuts both directions, or heals them.
-func (r *Relay) SetPartitioned(on bool) {
-	r.DropToTarget.Store(on)
-	r.DropFromTarget.Store(on)
+// SetPartitioned drops the traffic of both directions, or forwards it again.
+func (r *Relay) SetPartitioned(partitioned bool) {
+	r.DropToTarget.Store(partitioned)
+	r.DropFromTarget.Store(partitioned)
 }
 
-// SetDelay delays what is forwarded.
+// SetDelay sets the delay before each forwarded chunk of a connection. Datagrams
+// are not delayed.
 func (r *Relay) SetDelay(d time.Duration) { r.delay.Store(int64(d)) }
 
-// SilenceOpen makes the connections that are open now silent for good; new
-// ones work. It returns how many there were.
+// SilenceConnections permanently stops forwarding on the open connections
+// without closing them, and returns their number. New connections work.
 func (r *Relay) SilenceConnections() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,72 +82,74 @@
 	return len(r.conns)
 }
 
-// ResetOpen closes the connections that are open now; new ones work.
+// ResetConnections closes the open connections. New connections work.
 func (r *Relay) ResetConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p := range r.conns {
-		_ = p.a.Close()
-		_ = p.b.Close()
+		_ = p.client.Close()
+		_ = p.target.Close()
 	}
 }
 
-// Close ends the relay and its connections.
+// Close stops the relay and closes its connections.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closed = true
-	_ = r.ln.Close()
+	_ = r.listener.Close()
 	_ = r.udp.Close()
 	for p := range r.conns {
-		_ = p.a.Close()
-		_ = p.b.Close()
+		_ = p.client.Close()
+		_ = p.target.Close()
 	}
-	for _, c := range r.clients {
+	for _, c := range r.udpSockets {
 		_ = c.Close()
 	}
 }
 
-func (r *Relay) accept() {
+func (r *Relay) acceptLoop() {
 	for {
-		a, err := r.ln.Accept()
+		a, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.connect(a)
+		go r.relayConn(a)
 	}
 }
 
-func (r *Relay) connect(a net.Conn) {
+// relayConn connects an accepted connection to the target and forwards both
+// directions until both end.
+func (r *Relay) relayConn(a net.Conn) {
 	b, err := net.Dial("tcp", r.target)
 	if err != nil {
 		_ = a.Close()
 		return
 	}
-	p := &pair{a: a, b: b}
+	p := &connPair{client: a, target: b}
 	r.mu.Lock()
 	r.conns[p] = struct{}{}
 	r.mu.Unlock()
 	var wg sync.WaitGroup
 	wg.Add(2)
-	go func() { defer wg.Done(); r.pump(p, a, b, &r.DropToTarget) }()
-	go func() { defer wg.Done(); r.pump(p, b, a, &r.DropFromTarget) }()
+	go func() { defer wg.Done(); r.forwardStream(p, a, b, &r.DropToTarget) }()
+	go func() { defer wg.Done(); r.forwardStream(p, b, a, &r.DropFromTarget) }()
 	wg.Wait()
 	r.mu.Lock()
 	delete(r.conns, p)
 	r.mu.Unlock()
 }
 
-// pump forwards one direction. What comes while the direction is cut or the
-// pair silent is read and dropped, as by something that lost track of it; the
-// end of one side is not passed on either.
-func (r *Relay) pump(p *pair, from, to net.Conn, cut *atomic.Bool) {
+// forwardStream forwards one direction of a connection. Once data is dropped,
+// because of drop or a silenced pair, nothing more is forwarded, not even the
+// end of the stream.
+func (r *Relay) forwardStream(p *connPair, from, to net.Conn, cut *atomic.Bool) {
 	buf := make([]byte, 32<<10)
 	broken := false
 	for {
 		n, err := from.Read(buf)
 		if cut.Load() || p.silent.Load() {
-			// A stream with a hole in it must not go on.
+			// A stream must not continue after lost bytes.
 			broken = true
 		}
 		if n > 0 && !broken {
@@ -164,7 +170,8 @@
 	}
 }
 
-func (r *Relay) datagrams() {
+// forwardDatagrams forwards the datagrams of all senders to the target.
+func (r *Relay) forwardDatagrams() {
 	buf := make([]byte, 64<<10)
 	for {
 		n, from, err := r.udp.ReadFromUDP(buf)
@@ -174,21 +181,22 @@
 		if r.DropToTarget.Load() {
 			continue
 		}
-		if c := r.client(from); c != nil {
+		if c := r.clientSocket(from); c != nil {
 			_, _ = c.Write(buf[:n])
 		}
 	}
 }
 
-// client returns the socket that stands for one sender towards the target.
-func (r *Relay) client(from *net.UDPAddr) *net.UDPConn {
+// clientSocket returns the socket that forwards one sender's datagrams to the
+// target, nil if it cannot be opened or the relay is closed.
+func (r *Relay) clientSocket(from *net.UDPAddr) *net.UDPConn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
 		return nil
 	}
 	key := from.String()
-	if c := r.clients[key]; c != nil {
+	if c := r.udpSockets[key]; c != nil {
 		return c
 	}
 	ua, err := net.ResolveUDPAddr("udp", r.target)
@@ -199,12 +207,13 @@
 	if err != nil {
 		return nil
 	}
-	r.clients[key] = c
-	go r.answers(c, from)
+	r.udpSockets[key] = c
+	go r.forwardReplies(c, from)
 	return c
 }
 
-func (r *Relay) answers(c *net.UDPConn, to *net.UDPAddr) {
+// forwardReplies forwards the target's datagrams to the sender at address to.
+func (r *Relay) forwardReplies(c *net.UDPConn, to *net.UDPAddr) {
 	buf := make([]byte, 64<<10)
 	for {
 		n, err := c.Read(buf)
