--- a/internal/logging/async.go
+++ b/internal/logging/async.go
@@ -10,7 +10,7 @@
 // Async is a writer that never holds up who writes: lines wait in a bounded
 // ring for the duty that writes them. A full ring drops the line and counts it.
 type Async struct {
-	lines *ring.Ring[[]byte]
+	lines *ring.Queue[[]byte]
 	out   io.Writer
 }
 
--- a/internal/node/gossiper.go
+++ b/internal/node/gossiper.go
@@ -53,8 +53,8 @@
 	core        *gossip.Core
 	views       *viewBuilder
 	udp         *net.UDPConn
-	packets     *ring.Ring[datagram]
-	configHints *ring.Ring[configHint]
+	packets     *ring.Queue[datagram]
+	configHints *ring.Queue[configHint]
 	// commands run on the core's goroutine. Senders block while the queue is full;
 	// commands are rare and never on the request path.
 	commands chan func()
--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -42,7 +42,7 @@
 	core           *raft.Core
 	writer         *logWriter
 	sm             stateMachine
-	inbox          *ring.Ring[func()]
+	inbox          *ring.Queue[func()]
 	proposals      map[uint64]pendingProposal
 	pendingReads   map[uint64]chan raft.ReadResult
 	unappliedReads []raft.ReadResult
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -42,7 +42,7 @@
 	groups []*group
 
 	mu         sync.Mutex
-	sendQueues map[string]*ring.Ring[outgoingMessage]
+	sendQueues map[string]*ring.Queue[outgoingMessage]
 
 	// verifiedPeers are the replicas that recently confirmed their identity, nil
 	// while this node leads no group.
@@ -59,7 +59,7 @@
 // lost disk: its contents are moved aside and the replica starts empty under a new
 // identity, because votes and entries of the old one may be lost.
 func openReplicas(n *Node) (*replicas, error) {
-	r := &replicas{node: n, sendQueues: map[string]*ring.Ring[outgoingMessage]{}}
+	r := &replicas{node: n, sendQueues: map[string]*ring.Queue[outgoingMessage]{}}
 	if n.opt.DataFolder == "" {
 		return r, nil
 	}
@@ -410,7 +410,7 @@
 }
 
 // sendQueue returns the queue of an address, and starts its sender if it is new.
-func (r *replicas) sendQueue(addr string) *ring.Ring[outgoingMessage] {
+func (r *replicas) sendQueue(addr string) *ring.Queue[outgoingMessage] {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.sendQueues[addr]
@@ -423,7 +423,7 @@
 }
 
 // sendLoop sends the messages queued for one address, batched by group.
-func (r *replicas) sendLoop(addr string, s *ring.Ring[outgoingMessage]) {
+func (r *replicas) sendLoop(addr string, s *ring.Queue[outgoingMessage]) {
 	for {
 		var first outgoingMessage
 		select {
--- a/internal/node/writer.go
+++ b/internal/node/writer.go
@@ -26,8 +26,8 @@
 // logWriter is the duty that owns a group's log. It does one job after the other.
 type logWriter struct {
 	log     replicaLog
-	jobs    *ring.Ring[writeJob]
-	written *ring.Ring[written]
+	jobs    *ring.Queue[writeJob]
+	written *ring.Queue[written]
 }
 
 // writeJob is a Ready to save, or a reset.
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -5,16 +5,16 @@
 
 // Ring is a bounded queue between goroutines. When it is full, Offer drops
 // the item and counts it: a duty that falls behind never holds up a request.
-type Ring[T any] struct {
+type Queue[T any] struct {
 	c       chan T
 	dropped atomic.Int64
 }
 
 // New returns a ring for n items.
-func New[T any](n int) *Ring[T] { return &Ring[T]{c: make(chan T, n)} }
+func New[T any](n int) *Queue[T] { return &Queue[T]{c: make(chan T, n)} }
 
 // Offer adds an item; false if the ring was full and the item was dropped.
-func (r *Ring[T]) Offer(v T) bool {
+func (r *Queue[T]) Offer(v T) bool {
 	select {
 	case r.c <- v:
 		return true
@@ -25,7 +25,7 @@
 }
 
 // C returns the channel to take items from.
-func (r *Ring[T]) C() <-chan T { return r.c }
+func (r *Queue[T]) C() <-chan T { return r.c }
 
 // Dropped returns how many items were dropped since the start.
-func (r *Ring[T]) Dropped() int64 { return r.dropped.Load() }
+func (r *Queue[T]) Dropped() int64 { return r.dropped.Load() }
