--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,19 +1,21 @@
-// Package ring joins the goroutines of different duties by bounded queues.
+// Package ring provides bounded queues between goroutines that drop items rather
+// than block the sender.
 package ring
 
 import "sync/atomic"
 
-// Ring is a bounded queue between goroutines. When it is full, Offer drops
-// the item and counts it: a duty that falls behind never holds up a request.
+// Queue is a bounded queue between goroutines. Offer never blocks, so that a slow
+// receiver does not delay requests.
 type Queue[T any] struct {
 	c       chan T
 	dropped atomic.Int64
 }
 
-// New returns a ring for n items.
+// New returns a queue for n items.
 func New[T any](n int) *Queue[T] { return &Queue[T]{c: make(chan T, n)} }
 
-// Offer adds an item; false if the ring was full and the item was dropped.
+// Offer adds an item. If the queue is full, it drops and counts the item and
+// returns false.
 func (r *Queue[T]) Offer(v T) bool {
 	select {
 	case r.c <- v:
@@ -24,8 +26,8 @@
 	}
 }
 
-// C returns the channel to take items from.
+// C returns the channel from which items are received.
 func (r *Queue[T]) C() <-chan T { return r.c }
 
-// Dropped returns how many items were dropped since the start.
+// Dropped returns the number of items dropped so far.
 func (r *Queue[T]) Dropped() int64 { return r.dropped.Load() }
