--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -110,30 +110,30 @@
 
 func (r *Relay) acceptLoop() {
 	for {
-		a, err := r.listener.Accept()
+		conn, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.relayConn(a)
+		go r.relayConn(conn)
 	}
 }
 
 // relayConn connects an accepted connection to the target and forwards both
 // directions until both end.
-func (r *Relay) relayConn(a net.Conn) {
-	b, err := net.Dial("tcp", r.target)
+func (r *Relay) relayConn(client net.Conn) {
+	target, err := net.Dial("tcp", r.target)
 	if err != nil {
-		_ = a.Close()
+		_ = client.Close()
 		return
 	}
-	p := &connPair{client: a, target: b}
+	p := &connPair{client: client, target: target}
 	r.mu.Lock()
 	r.conns[p] = struct{}{}
 	r.mu.Unlock()
 	var wg sync.WaitGroup
 	wg.Add(2)
-	go func() { defer wg.Done(); r.forwardStream(p, a, b, &r.DropToTarget) }()
-	go func() { defer wg.Done(); r.forwardStream(p, b, a, &r.DropFromTarget) }()
+	go func() { defer wg.Done(); r.forwardStream(p, client, target, &r.DropToTarget) }()
+	go func() { defer wg.Done(); r.forwardStream(p, target, client, &r.DropFromTarget) }()
 	wg.Wait()
 	r.mu.Lock()
 	delete(r.conns, p)
@@ -143,16 +143,16 @@
 // forwardStream forwards one direction of a connection. Once data is dropped,
 // because of drop or a silenced pair, nothing more is forwarded, not even the
 // end of the stream.
-func (r *Relay) forwardStream(p *connPair, from, to net.Conn, cut *atomic.Bool) {
+func (r *Relay) forwardStream(p *connPair, from, to net.Conn, drop *atomic.Bool) {
 	buf := make([]byte, 32<<10)
-	broken := false
+	lostData := false
 	for {
 		n, err := from.Read(buf)
-		if cut.Load() || p.silent.Load() {
+		if drop.Load() || p.silent.Load() {
 			// A stream must not continue after lost bytes.
-			broken = true
+			lostData = true
 		}
-		if n > 0 && !broken {
+		if n > 0 && !lostData {
 			if d := r.delay.Load(); d > 0 {
 				time.Sleep(time.Duration(d))
 			}
@@ -162,7 +162,7 @@
 			}
 		}
 		if err != nil {
-			if err != io.EOF || !broken {
+			if err != io.EOF || !lostData {
 				_ = to.Close()
 			}
 			return
