--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -267,7 +267,7 @@
 		if dial {
 			return c.dial(s)
 		}
-		if now.Sub(cn.lastUse) < cn.trusted(c.opt.IdleMax) && cn.br.Buffered() == 0 && sock.Quiet(cn.Conn) {
+		if now.Sub(cn.lastUse) < cn.trusted(c.opt.IdleMax) && cn.br.Buffered() == 0 && sock.IsIdle(cn.Conn) {
 			return cn, nil
 		}
 		c.discard(cn)
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -17,7 +17,7 @@
 )
 
 // Quiet tells whether c is open and has nothing to read.
-func Quiet(c net.Conn) bool { return look(c) == stateQuiet }
+func IsIdle(c net.Conn) bool { return look(c) == stateQuiet }
 
 // Open tells whether the other side has not closed c.
 func Open(c net.Conn) bool { return look(c) != stateClosed }
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -265,7 +265,7 @@
 		if conn == nil {
 			break
 		}
-		if now.Sub(conn.lastUse) < c.opt.SilenceTimeout && conn.reader.Buffered() == 0 && sock.Quiet(conn.Conn) {
+		if now.Sub(conn.lastUse) < c.opt.SilenceTimeout && conn.reader.Buffered() == 0 && sock.IsIdle(conn.Conn) {
 			return conn, nil
 		}
 		conn.applyEvent(eventStale)
