--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -20,7 +20,7 @@
 func IsIdle(c net.Conn) bool { return look(c) == stateQuiet }
 
 // Open tells whether the other side has not closed c.
-func Open(c net.Conn) bool { return look(c) != stateClosed }
+func IsOpen(c net.Conn) bool { return look(c) != stateClosed }
 
 // look peeks at the socket's receive buffer. It takes nothing from it, does
 // not wait, and does not disturb a goroutine that is blocked on the socket.
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -224,7 +224,7 @@
 	if x == nil {
 		return
 	}
-	if x.bodyRead.Load() && !sock.Open(c.Conn) {
+	if x.bodyRead.Load() && !sock.IsOpen(c.Conn) {
 		x.Scope.Cancel(fault.Canceled)
 		return
 	}
