--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -1,4 +1,5 @@
-// Package sock looks at the state of TCP connections without reading them.
+// Package sock inspects TCP connections without reading from them, and finds
+// free ports for tests.
 package sock
 
 import (
@@ -8,26 +9,28 @@
 	"github.com/umberthread/umberthread/fault"
 )
 
-type state uint8
+// connState is the state of a connection's receive side.
+type connState uint8
 
 const (
-	stateClosed state = iota
-	stateQuiet
+	stateClosed connState = iota
+	stateIdle
 	stateReadable
 )
 
-// Quiet tells whether c is open and has nothing to read.
-func IsIdle(c net.Conn) bool { return look(c) == stateQuiet }
+// IsIdle reports whether c is open and has no data to read.
+func IsIdle(c net.Conn) bool { return inspect(c) == stateIdle }
 
-// Open tells whether the other side has not closed c.
-func IsOpen(c net.Conn) bool { return look(c) != stateClosed }
+// IsOpen reports whether the other side has not closed c, or c has unread data.
+func IsOpen(c net.Conn) bool { return inspect(c) != stateClosed }
 
-// look peeks at the socket's receive buffer. It takes nothing from it, does
-// not wait, and does not disturb a goroutine that is blocked on the socket.
-func look(c net.Conn) state {
+// inspect peeks at the receive buffer of c. It neither blocks nor affects a
+// goroutine that is blocked on c. A connection that is not a socket counts as
+// idle.
+func inspect(c net.Conn) connState {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
-		return stateQuiet
+		return stateIdle
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
@@ -41,21 +44,22 @@
 	return s
 }
 
-func peek(fd int) state {
+// peek returns the state of the socket fd.
+func peek(fd int) connState {
 	var b [1]byte
 	n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	switch {
 	case n > 0:
 		return stateReadable
 	case err == syscall.EAGAIN || err == syscall.EINTR:
-		return stateQuiet
+		return stateIdle
 	default:
 		return stateClosed
 	}
 }
 
-// FreeAddr returns a loopback address whose TCP and UDP ports are free, for
-// processes that a test or a measurement starts.
+// FreeAddr returns a loopback address whose TCP and UDP ports are free at the time
+// of the call, for a process that a test or benchmark starts.
 func FreeAddr() (string, error) {
 	const tries = 100
 	var last error
