--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,4 +1,4 @@
-// Package codec encodes the small messages of the gossip as msgpack arrays,
+// Package codec encodes gossip messages in msgpack, with structs as arrays
 // without field names.
 package codec
 
@@ -10,7 +10,8 @@
 	"github.com/umberthread/umberthread/fault"
 )
 
-// Encode returns the encoding of a struct of plain fields.
+// Encode returns the encoding of v. It panics if v cannot be encoded; structs of
+// strings, numbers, bytes and the like always can.
 func Encode(v any) []byte {
 	var b bytes.Buffer
 	enc := msgpack.GetEncoder()
@@ -18,19 +19,16 @@
 	enc.Reset(&b)
 	enc.UseArrayEncodedStructs(true)
 	if err := enc.Encode(v); err != nil {
-		// Structs of strings, numbers and bytes always encode.
 		panic(err)
 	}
 	return b.Bytes()
 }
 
-// Decode reads what Encode wrote. What is shorter than the lengths in it say is
-// refused before room is made for them: five bytes of another writer can name an
-// array of four thousand million entries, and the process would end for want of
-// memory.
+// Decode decodes b into v. It rejects a message that is shorter than the lengths
+// in it before it allocates memory for them, so that a malformed message cannot
+// exhaust the memory.
 func Decode(b []byte, v any) error {
-	// Not a decoder of the library's pool: its buffer grows by a megabyte with
-	// each such message, and stays.
+	// A pooled decoder would keep the buffer that a malformed message enlarges.
 	if err := msgpack.NewDecoder(bytes.NewReader(b)).Skip(); err != nil {
 		return fault.Wrap(fault.Protocol, err, "malformed message")
 	}
--- a/internal/codec/codec_test.go
+++ b/internal/codec/codec_test.go
@@ -19,8 +19,9 @@
 	Map   map[string]int
 }
 
-// TestMalformedMessagesLeaveNothing: what they took is free again.
-func TestMalformedMessagesLeaveNothing(t *testing.T) {
+// TestMalformedMessagesDoNotLeakMemory guards against decoder buffers that grow
+// with each malformed message.
+func TestMalformedMessagesDoNotLeakMemory(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var after runtime.MemStats
 	for range 200 {
@@ -32,17 +33,17 @@
 	g.Expect(after.HeapAlloc).To(gomega.BeNumerically("<", 64<<20), "bytes in use")
 }
 
-// TestLengthsBeyondTheMessageMakeNoRoom: each of these few bytes names thousands
-// of millions of entries.
-func TestLengthsBeyondTheMessageMakeNoRoom(t *testing.T) {
+// TestOversizedLengthsAllocateNoMemory decodes short messages with lengths of
+// billions of entries.
+func TestOversizedLengthsAllocateNoMemory(t *testing.T) {
 	for name, b := range map[string]string{
-		"array":           "\x94\xa1x\xdd\xdd\xdd10\x92\xa1x\xa1x",
-		"array, alone":    "\xdd\xff\xff\xff\xff",
-		"binary":          "\x94\xa1x\x90\xc6\xff\xff\xff\xff\x00",
-		"text":            "\x94\xdb\xff\xff\xff\xffx",
-		"map":             "\x94\xa1x\x90\xc4\x00\xdf\xff\xff\xff\xff\xa1x\x01",
-		"extension":       "\xc9\xc9\xc9\xc9\xc9\xc9\xc9\x06\x06",
-		"extension, deep": "\x94\xa1x\x91\xc9\xff\xff\xff\xff\x06\x06",
+		"array":            "\x94\xa1x\xdd\xdd\xdd10\x92\xa1x\xa1x",
+		"top-level array":  "\xdd\xff\xff\xff\xff",
+		"binary":           "\x94\xa1x\x90\xc6\xff\xff\xff\xff\x00",
+		"string":           "\x94\xdb\xff\xff\xff\xffx",
+		"map":              "\x94\xa1x\x90\xc4\x00\xdf\xff\xff\xff\xff\xa1x\x01",
+		"extension":        "\xc9\xc9\xc9\xc9\xc9\xc9\xc9\x06\x06",
+		"nested extension": "\x94\xa1x\x91\xc9\xff\xff\xff\xff\x06\x06",
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
