--- a/internal/logging/async.go
+++ b/internal/logging/async.go
@@ -7,49 +7,50 @@
 	"github.com/umberthread/umberthread/internal/ring"
 )
 
-// Async is a writer that never holds up who writes: lines wait in a bounded
-// ring for the duty that writes them. A full ring drops the line and counts it.
+// Async is a writer that never blocks: lines wait in a bounded queue for a
+// goroutine that writes them. If the queue is full, the line is dropped and
+// counted.
 type Async struct {
 	lines *ring.Queue[[]byte]
 	out   io.Writer
 }
 
 const (
-	// ringLines is how many lines may wait: a few seconds' worth at the most
-	// that the parts write.
-	ringLines = 1024
-	// batchBytes is how much is joined into one write.
+	// queueLines is the capacity of the queue, in lines.
+	queueLines = 1024
+	// batchBytes is the size at which a batch of lines is written.
 	batchBytes = 32 << 10
 )
 
-// NewAsync returns a writer and starts the duty that writes to out.
+// NewAsync returns a writer and starts the goroutine that writes to out. The
+// goroutine runs until the process ends.
 func NewAsync(out io.Writer) *Async {
-	a := &Async{lines: ring.New[[]byte](ringLines), out: out}
+	a := &Async{lines: ring.New[[]byte](queueLines), out: out}
 	go a.run()
 	return a
 }
 
-// Write implements io.Writer. It keeps a copy of the line.
+// Write implements io.Writer. It queues a copy of the line and never fails.
 func (a *Async) Write(p []byte) (int, error) {
 	a.lines.Offer(append([]byte(nil), p...))
 	return len(p), nil
 }
 
-// Dropped returns how many lines the full ring has dropped.
+// Dropped returns the number of lines dropped because the queue was full.
 func (a *Async) Dropped() int64 { return a.lines.Dropped() }
 
 func (a *Async) run() {
 	var batch []byte
 	for line := range a.lines.C() {
 		batch = append(batch[:0], line...)
-		batch = a.more(batch)
-		// A closed standard output leaves nobody to tell.
+		batch = a.appendQueued(batch)
+		// There is nowhere to report a failure of the log output.
 		_, _ = a.out.Write(batch)
 	}
 }
 
-// more adds what waits, up to a bound.
-func (a *Async) more(batch []byte) []byte {
+// appendQueued appends the queued lines until the batch has batchBytes.
+func (a *Async) appendQueued(batch []byte) []byte {
 	for len(batch) < batchBytes {
 		select {
 		case line := <-a.lines.C():
@@ -61,10 +62,11 @@
 	return batch
 }
 
-// flushTimeout bounds the wait for the last lines when a process ends.
+// flushTimeout bounds how long Flush waits.
 const flushTimeout = 200 * time.Millisecond
 
-// Flush waits until the lines so far are written, for a short while.
+// Flush waits until the queue is empty, for at most flushTimeout. The last batch
+// may not be written yet.
 func (a *Async) Flush() {
 	deadline := time.Now().Add(flushTimeout)
 	for len(a.lines.C()) > 0 && time.Now().Before(deadline) {
--- a/internal/logging/async_test.go
+++ b/internal/logging/async_test.go
@@ -8,9 +8,9 @@
 	"github.com/onsi/gomega"
 )
 
-// blocked is an output that nobody reads until it is released.
-type blocked struct {
-	// entered is closed once the duty that writes is stuck in Write.
+// blockedWriter is a writer that blocks until it is released.
+type blockedWriter struct {
+	// entered is closed at the first call of Write.
 	entered chan struct{}
 	release chan struct{}
 	once    sync.Once
@@ -18,11 +18,11 @@
 	text    bytes.Buffer
 }
 
-func newBlocked() *blocked {
-	return &blocked{entered: make(chan struct{}), release: make(chan struct{})}
+func newBlockedWriter() *blockedWriter {
+	return &blockedWriter{entered: make(chan struct{}), release: make(chan struct{})}
 }
 
-func (b *blocked) Write(p []byte) (int, error) {
+func (b *blockedWriter) Write(p []byte) (int, error) {
 	b.once.Do(func() { close(b.entered) })
 	<-b.release
 	b.mu.Lock()
@@ -30,28 +30,28 @@
 	return b.text.Write(p)
 }
 
-func (b *blocked) String() string {
+func (b *blockedWriter) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.String()
 }
 
-// TestLoggingNeverWaitsForItsReader: the output is stuck, writers go on, the
-// ring keeps as many lines as it holds, and each further one is counted.
-func TestLoggingNeverWaitsForItsReader(t *testing.T) {
+// TestBlockedOutputDoesNotBlockWriters checks that a full queue drops and counts
+// lines while the output blocks, and that the queued lines are written later.
+func TestBlockedOutputDoesNotBlockWriters(t *testing.T) {
 	g := gomega.NewWithT(t)
-	out := newBlocked()
+	out := newBlockedWriter()
 	a := NewAsync(out)
-	// Until the duty is stuck it takes lines out of the ring, so what the ring
-	// drops is exact only after that.
+	// The number of dropped lines is exact only once the writing goroutine
+	// blocks and takes no more lines from the queue.
 	_, err := a.Write([]byte("line\n"))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	<-out.entered
-	for range 3 * ringLines {
+	for range 3 * queueLines {
 		_, err := a.Write([]byte("line\n"))
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 	}
-	g.Expect(a.Dropped()).To(gomega.BeEquivalentTo(2 * ringLines))
+	g.Expect(a.Dropped()).To(gomega.BeEquivalentTo(2 * queueLines))
 	close(out.release)
-	g.Eventually(out.String, "5s", "5ms").Should(gomega.HaveLen(5 * (1 + ringLines)))
+	g.Eventually(out.String, "5s", "5ms").Should(gomega.HaveLen(5 * (1 + queueLines)))
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging makes the loggers of the commands.
+// Package logging creates the loggers of the commands.
 package logging
 
 import (
@@ -8,8 +8,9 @@
 	"github.com/go-kit/log/level"
 )
 
-// New returns a logger that writes logfmt lines of at least the given level:
-// debug, info, warn or error. Each line names the part that it comes from.
+// New returns a logger that writes logfmt lines with a UTC timestamp. It omits
+// lines below the lowest level: debug, info, warn or error; any other name means
+// info.
 func New(w io.Writer, lowest string) log.Logger {
 	l := log.NewLogfmtLogger(log.NewSyncWriter(w))
 	l = level.NewFilter(l, level.Allow(level.ParseDefault(lowest, level.InfoValue())))
