--- a/cmd/umberbench/prove.go
+++ b/cmd/umberbench/prove.go
@@ -34,7 +34,7 @@
 		fmt.Printf("seed %d: %d cases\n", s, n)
 		if err != nil {
 			fmt.Println(out)
-			return fault.Newf(fault.Internal, "seed %d fails; repeat with %s=%d go test %s", s, seed.Variable, s, strings.Join(provePackages, " "))
+			return fault.Newf(fault.Internal, "seed %d fails; repeat with %s=%d go test %s", s, seed.EnvVar, s, strings.Join(provePackages, " "))
 		}
 	}
 	fmt.Printf("prove: seeds=%d cases=%d failures=0\n", seeds, cases)
@@ -45,7 +45,7 @@
 	args := append([]string{"test", "-count=1", "-v"}, provePackages...)
 	args = append(args, "-rapid.checks="+strconv.Itoa(proveChecks), "-rapid.nofailfile")
 	cmd := exec.Command("go", args...)
-	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%d", seed.Variable, s))
+	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%d", seed.EnvVar, s))
 	out, err := cmd.CombinedOutput()
 	n := 0
 	for _, m := range passed.FindAllStringSubmatch(string(out), -1) {
--- a/internal/seed/seed.go
+++ b/internal/seed/seed.go
@@ -14,13 +14,13 @@
 
 // Variable is the environment variable that names another seed; make prove
 // sets it.
-const Variable = "PROVE_SEED"
+const EnvVar = "PROVE_SEED"
 
 // Main runs a package's tests; a TestMain calls it.
 func Main(m *testing.M) {
 	flag.Parse()
 	value := Fixed
-	if v := os.Getenv(Variable); v != "" {
+	if v := os.Getenv(EnvVar); v != "" {
 		value = v
 	}
 	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == "0" {
