--- a/internal/seed/seed.go
+++ b/internal/seed/seed.go
@@ -1,5 +1,5 @@
-// Package seed makes the stateful fuzz tests repeatable: they draw from one
-// fixed seed unless the environment asks for a fresh one.
+// Package seed makes property-based tests reproducible: it sets a fixed seed for
+// package rapid unless an environment variable gives another.
 package seed
 
 import (
@@ -9,14 +9,15 @@
 	"testing"
 )
 
-// Fixed is the seed that CI uses.
+// Fixed is the default seed; CI uses it.
 const Fixed = "20261202"
 
-// Variable is the environment variable that names another seed; make prove
-// sets it.
+// EnvVar is the environment variable that overrides the seed. "make prove" sets
+// it.
 const EnvVar = "PROVE_SEED"
 
-// Main runs a package's tests; a TestMain calls it.
+// Main sets the seed, unless the flag -rapid.seed gives one, runs the tests and
+// exits the process. It is called by TestMain.
 func Main(m *testing.M) {
 	flag.Parse()
 	value := Fixed
