--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -215,7 +215,7 @@
 func (c *Chart) Text(s State) string { return c.states[s] }
 
 // Start is the first state of every chart.
-const Start State = 0
+const InitialState State = 0
 
 // Mermaid draws the chart as the text of a Mermaid state diagram.
 func (c *Chart) Mermaid() string {
--- a/internal/chart/chart_test.go
+++ b/internal/chart/chart_test.go
@@ -14,7 +14,7 @@
 	for _, name := range Names() {
 		c, err := Load(name)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		g.Expect(c.Mermaid()).To(gomega.ContainSubstring("[*] --> " + c.Text(Start)))
+		g.Expect(c.Mermaid()).To(gomega.ContainSubstring("[*] --> " + c.Text(InitialState)))
 		g.Expect(c.Graphviz()).To(gomega.ContainSubstring("digraph"))
 	}
 }
@@ -40,7 +40,7 @@
 func TestNextFollowsTheFile(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := MustLoad("node")
-	s, ok := c.Next(Start, c.Event("configured"))
+	s, ok := c.Next(InitialState, c.Event("configured"))
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(c.Text(s)).To(gomega.Equal("serving"))
 	_, ok = c.Next(s, c.Event("configured"))
--- a/internal/node/announce.go
+++ b/internal/node/announce.go
@@ -125,7 +125,7 @@
 		old = nil
 	}
 	next := &local{
-		service: a.Service, slots: a.Slots, weight: a.Weight, life: chart.Start,
+		service: a.Service, slots: a.Slots, weight: a.Weight, life: chart.InitialState,
 		instance: a.Instance, born: a.StartedAtMs, sequence: a.Sequence,
 		expires: time.Now().Add(n.opt.Lease.Duration),
 	}
