--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -1,7 +1,6 @@
-// Package chart holds the life cycles of the product's parts as state charts
-// in files, checks them when they are loaded, and interprets them: the code
-// that runs a life cycle asks its chart for the next state, so that the files
-// are what the program does, not a drawing of it.
+// Package chart loads, validates and interprets state charts. The charts define
+// the life cycles of nodes, connections and other parts; they are embedded TOML
+// files, and the code takes its state transitions from them.
 package chart
 
 import (
@@ -17,51 +16,52 @@
 )
 
 //go:embed charts/*.toml
-var files embed.FS
+var chartFiles embed.FS
 
-// State is a state of a chart, as an index into it.
+// State is the index of a state in its chart.
 type State uint8
 
-// Event is an event of a chart, as an index into it.
+// Event is the index of an event in its chart.
 type Event uint8
 
-// none is the entry of a transition that a chart does not have.
-const none State = 255
+// noTransition marks an event that a state ignores.
+const noTransition State = 255
 
-// maxStates bounds a chart.
+// maxStates is the largest number of states of a chart.
 const maxStates = 64
 
-// Chart is a checked state chart. It is immutable.
+// Chart is a validated state chart. It is immutable.
 type Chart struct {
-	// Name is the chart's name.
+	// Name is the chart's file name without its extension.
 	Name string
-	// Doc says what goes through the states.
+	// Doc describes what has these states.
 	Doc string
 
-	states []string
-	events []string
-	ends   map[State]bool
-	table  [][]State
+	states      []string
+	events      []string
+	finalStates map[State]bool
+	transitions [][]State
 }
 
-// file is the form of a chart's file.
-type file struct {
+// chartFile is the content of a chart's file. States maps each state to its
+// events and their target states.
+type chartFile struct {
 	Doc    string                       `toml:"doc"`
 	Start  string                       `toml:"start"`
 	Ends   []string                     `toml:"ends"`
 	States map[string]map[string]string `toml:"states"`
 }
 
-// Load returns the chart of the given name.
+// Load returns the embedded chart of the given name.
 func Load(name string) (*Chart, error) {
-	data, err := files.ReadFile("charts/" + name + ".toml")
+	data, err := chartFiles.ReadFile("charts/" + name + ".toml")
 	if err != nil {
 		return nil, fault.Wrap(fault.NotFound, err, "no such chart")
 	}
 	return Parse(name, data)
 }
 
-// MustLoad is Load for the charts that the program embeds; a test checks them.
+// MustLoad is like Load but panics on an error.
 func MustLoad(name string) *Chart {
 	c, err := Load(name)
 	if err != nil {
@@ -72,7 +72,7 @@
 
 // Names returns the names of the embedded charts.
 func Names() []string {
-	entries, err := files.ReadDir("charts")
+	entries, err := chartFiles.ReadDir("charts")
 	if err != nil {
 		return nil
 	}
@@ -83,26 +83,27 @@
 	return out
 }
 
-// Parse reads and checks a chart: every target is a state, every state can be
-// reached, and every state but the ends has a way out.
+// Parse decodes and validates a chart: every target is a state, every state is
+// reachable, and every state except the final ones has a transition to another.
 func Parse(name string, data []byte) (*Chart, error) {
-	var f file
+	var f chartFile
 	dec := toml.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&f); err != nil {
 		return nil, fault.Wrap(fault.InvalidSetting, err, "chart "+name)
 	}
-	c := &Chart{Name: name, Doc: f.Doc, ends: map[State]bool{}}
-	if err := c.build(&f); err != nil {
+	c := &Chart{Name: name, Doc: f.Doc, finalStates: map[State]bool{}}
+	if err := c.index(&f); err != nil {
 		return nil, err
 	}
-	return c, c.check(&f)
+	return c, c.validate(&f)
 }
 
-// build numbers states and events; the start is state 0.
-func (c *Chart) build(f *file) error {
+// index numbers the states and events and fills in the transitions. The initial
+// state is state 0.
+func (c *Chart) index(f *chartFile) error {
 	if _, ok := f.States[f.Start]; !ok || len(f.States) > maxStates {
-		return fault.Newf(fault.InvalidSetting, "chart %s: start %q is no state, or there are more than %d", c.Name, f.Start, maxStates)
+		return fault.Newf(fault.InvalidSetting, "chart %s: start %q is no state, or there are more than %d states", c.Name, f.Start, maxStates)
 	}
 	c.states = []string{f.Start}
 	events := map[string]bool{}
@@ -122,34 +123,35 @@
 	for _, s := range c.states {
 		row := make([]State, len(c.events))
 		for i, e := range c.events {
-			row[i] = none
+			row[i] = noTransition
 			target, ok := f.States[s][e]
 			if !ok {
 				continue
 			}
-			to, known := c.state(target)
+			to, known := c.lookupState(target)
 			if !known {
 				return fault.Newf(fault.InvalidSetting, "chart %s: %s on %s leads to %q, which is no state", c.Name, s, e, target)
 			}
 			row[i] = to
 		}
-		c.table = append(c.table, row)
+		c.transitions = append(c.transitions, row)
 	}
 	return nil
 }
 
-func (c *Chart) check(f *file) error {
+// validate records the final states and checks reachability and dead ends.
+func (c *Chart) validate(f *chartFile) error {
 	for _, e := range f.Ends {
-		s, ok := c.state(e)
+		s, ok := c.lookupState(e)
 		if !ok {
 			return fault.Newf(fault.InvalidSetting, "chart %s: end %q is no state", c.Name, e)
 		}
-		c.ends[s] = true
+		c.finalStates[s] = true
 	}
 	reached := map[State]bool{0: true}
 	for todo := []State{0}; len(todo) > 0; todo = todo[1:] {
-		for _, to := range c.table[todo[0]] {
-			if to != none && !reached[to] {
+		for _, to := range c.transitions[todo[0]] {
+			if to != noTransition && !reached[to] {
 				reached[to] = true
 				todo = append(todo, to)
 			}
@@ -159,33 +161,35 @@
 		if !reached[State(i)] {
 			return fault.Newf(fault.InvalidSetting, "chart %s: state %q cannot be reached", c.Name, s)
 		}
-		if !c.ends[State(i)] && c.stuck(State(i)) {
+		if !c.finalStates[State(i)] && c.isDeadEnd(State(i)) {
 			return fault.Newf(fault.InvalidSetting, "chart %s: state %q has no way out and is no end", c.Name, s)
 		}
 	}
 	return nil
 }
 
-func (c *Chart) stuck(s State) bool {
-	for _, to := range c.table[s] {
-		if to != none && to != s {
+// isDeadEnd reports whether no transition leads from s to another state.
+func (c *Chart) isDeadEnd(s State) bool {
+	for _, to := range c.transitions[s] {
+		if to != noTransition && to != s {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *Chart) state(name string) (State, bool) {
+// lookupState returns the state of the given name, false if there is none.
+func (c *Chart) lookupState(name string) (State, bool) {
 	for i, s := range c.states {
 		if s == name {
 			return State(i), true
 		}
 	}
-	return none, false
+	return noTransition, false
 }
 
-// Event returns the event of the given name. It panics on a name that the
-// chart does not have: names are constants of the program.
+// Event returns the event of the given name. It panics if the chart has no such
+// event.
 func (c *Chart) Event(name string) Event {
 	for i, e := range c.events {
 		if e == name {
@@ -195,62 +199,64 @@
 	panic("chart " + c.Name + " has no event " + name)
 }
 
-// State returns the state of the given name, like Event.
+// State returns the state of the given name. It panics if the chart has no such
+// state.
 func (c *Chart) State(name string) State {
-	s, ok := c.state(name)
+	s, ok := c.lookupState(name)
 	if !ok {
 		panic("chart " + c.Name + " has no state " + name)
 	}
 	return s
 }
 
-// Next returns the state that an event leads to; false if the event changes
-// nothing in this state.
+// Next returns the target state of an event in state s, or false if s has no
+// transition for the event.
 func (c *Chart) Next(s State, e Event) (State, bool) {
-	to := c.table[s][e]
-	return to, to != none
+	to := c.transitions[s][e]
+	return to, to != noTransition
 }
 
-// Text returns the name of a state.
+// StateName returns the name of a state.
 func (c *Chart) StateName(s State) string { return c.states[s] }
 
-// Start is the first state of every chart.
+// InitialState is the initial state of every chart.
 const InitialState State = 0
 
-// Mermaid draws the chart as the text of a Mermaid state diagram.
+// Mermaid returns the chart as a Mermaid state diagram.
 func (c *Chart) Mermaid() string {
 	var b strings.Builder
 	b.WriteString("stateDiagram-v2\n")
 	fmt.Fprintf(&b, "    [*] --> %s\n", c.states[0])
-	c.each(func(from, event, to string) { fmt.Fprintf(&b, "    %s --> %s: %s\n", from, to, event) })
+	c.forEachTransition(func(from, event, to string) { fmt.Fprintf(&b, "    %s --> %s: %s\n", from, to, event) })
 	for i, s := range c.states {
-		if c.ends[State(i)] {
+		if c.finalStates[State(i)] {
 			fmt.Fprintf(&b, "    %s --> [*]\n", s)
 		}
 	}
 	return b.String()
 }
 
-// Graphviz draws the chart as the text of a Graphviz graph.
+// Graphviz returns the chart in Graphviz's DOT language.
 func (c *Chart) Graphviz() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "digraph %q {\n  rankdir=LR;\n", c.Name)
 	for i, s := range c.states {
 		shape := "box"
-		if c.ends[State(i)] {
+		if c.finalStates[State(i)] {
 			shape = "doublecircle"
 		}
 		fmt.Fprintf(&b, "  %q [shape=%s];\n", s, shape)
 	}
-	c.each(func(from, event, to string) { fmt.Fprintf(&b, "  %q -> %q [label=%q];\n", from, to, event) })
+	c.forEachTransition(func(from, event, to string) { fmt.Fprintf(&b, "  %q -> %q [label=%q];\n", from, to, event) })
 	b.WriteString("}\n")
 	return b.String()
 }
 
-func (c *Chart) each(f func(from, event, to string)) {
-	for i, row := range c.table {
+// forEachTransition calls f for each transition, ordered by state and event.
+func (c *Chart) forEachTransition(f func(from, event, to string)) {
+	for i, row := range c.transitions {
 		for j, to := range row {
-			if to != none {
+			if to != noTransition {
 				f(c.states[i], c.events[j], c.states[to])
 			}
 		}
--- a/internal/chart/chart_test.go
+++ b/internal/chart/chart_test.go
@@ -8,7 +8,7 @@
 	"github.com/umberthread/umberthread/fault"
 )
 
-func TestEmbeddedChartsAreSound(t *testing.T) {
+func TestEmbeddedChartsAreValid(t *testing.T) {
 	g := gomega.NewWithT(t)
 	g.Expect(Names()).To(gomega.ConsistOf("node", "backend", "request", "connection", "replica"))
 	for _, name := range Names() {
@@ -19,12 +19,12 @@
 	}
 }
 
-func TestUnsoundChartsAreRefused(t *testing.T) {
+func TestInvalidChartsAreRejected(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"unreachable":     {"start = \"a\"\nends = [\"a\"]\n[states.a]\n[states.b]\nx = \"a\"", `state "b" cannot be reached`},
-		"no way out":      {"start = \"a\"\n[states.a]\nx = \"b\"\n[states.b]", `state "b" has no way out`},
-		"no target":       {"start = \"a\"\n[states.a]\nx = \"c\"", `leads to "c", which is no state`},
-		"no start":        {"start = \"z\"\n[states.a]\nx = \"a\"", `start "z" is no state`},
+		"dead end":        {"start = \"a\"\n[states.a]\nx = \"b\"\n[states.b]", `state "b" has no way out`},
+		"unknown target":  {"start = \"a\"\n[states.a]\nx = \"c\"", `leads to "c", which is no state`},
+		"unknown start":   {"start = \"z\"\n[states.a]\nx = \"a\"", `start "z" is no state`},
 		"unknown key":     {"begin = \"a\"\n[states.a]", "chart unknown key"},
 		"end is no state": {"start = \"a\"\nends = [\"q\"]\n[states.a]", `end "q" is no state`},
 	} {
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestNextFollowsTheFile(t *testing.T) {
+func TestNextFollowsChartFile(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := MustLoad("node")
 	s, ok := c.Next(InitialState, c.Event("configured"))
