--- a/cmd/umberctl/main.go
+++ b/cmd/umberctl/main.go
@@ -22,13 +22,13 @@
 	app   *kingpin.Application
 	nodes *[]string
 	json  *string
-	runs  map[string]func(ctl.Out) error
+	runs  map[string]func(ctl.Output) error
 }
 
 func main() {
 	c := newCommand()
 	name := kingpin.MustParse(c.app.Parse(os.Args[1:]))
-	out := ctl.Out{W: os.Stdout, JSON: *c.json == "json"}
+	out := ctl.Output{W: os.Stdout, JSON: *c.json == "json"}
 	if err := c.runs[name](out); err != nil {
 		e := fault.From(err)
 		fmt.Fprintln(os.Stderr, "umberctl:", err)
@@ -37,7 +37,7 @@
 }
 
 func newCommand() *command {
-	c := &command{app: kingpin.New("umberctl", help), runs: map[string]func(ctl.Out) error{}}
+	c := &command{app: kingpin.New("umberctl", help), runs: map[string]func(ctl.Output) error{}}
 	c.nodes = c.app.Flag("node", "Admin address of a node. Repeat for one node of each failure domain.").Short('n').
 		Envar("UMBERCTL_NODE").Default("127.0.0.1:7003").Strings()
 	c.json = c.app.Flag("output", "How to print.").Short('o').Default("table").Enum("table", "json")
@@ -55,28 +55,28 @@
 	get := config.Command("get", "Print the settings in force, of all scopes or below one.")
 	getScope := get.Arg("scope", "fleet, fleet/service or fleet/service/kind.").String()
 	current := get.Flag("current", "Those that a quorum of replicas confirms, instead of the node's own.").Bool()
-	c.runs[get.FullCommand()] = func(o ctl.Out) error { return ctl.ConfigGet(o, c.first(), *getScope, *current) }
+	c.runs[get.FullCommand()] = func(o ctl.Output) error { return ctl.ConfigGet(o, c.first(), *getScope, *current) }
 
 	set := config.Command("set", "Change settings: umberctl config set kigali/sheets/open#deadline=8s")
 	ch := changeFlags(set)
-	c.runs[set.FullCommand()] = func(o ctl.Out) error { return ctl.ConfigSet(o, c.first(), *ch) }
+	c.runs[set.FullCommand()] = func(o ctl.Output) error { return ctl.ConfigSet(o, c.first(), *ch) }
 
 	diff := config.Command("diff", "Show what a change would set and remove, without making it.")
 	dch := changeFlags(diff)
 	dch.DryRun = true
-	c.runs[diff.FullCommand()] = func(o ctl.Out) error { return ctl.ConfigSet(o, c.first(), *dch) }
+	c.runs[diff.FullCommand()] = func(o ctl.Output) error { return ctl.ConfigSet(o, c.first(), *dch) }
 
 	explain := config.Command("explain", "Print each effective value of a scope and the level that it comes from.")
 	scope := explain.Arg("scope", "fleet, fleet/service or fleet/service/kind.").Required().String()
-	c.runs[explain.FullCommand()] = func(o ctl.Out) error { return ctl.ConfigExplain(o, c.first(), *scope) }
+	c.runs[explain.FullCommand()] = func(o ctl.Output) error { return ctl.ConfigExplain(o, c.first(), *scope) }
 
 	history := config.Command("history", "Print the last accepted changes.")
-	c.runs[history.FullCommand()] = func(o ctl.Out) error { return ctl.ConfigHistory(o, c.first()) }
+	c.runs[history.FullCommand()] = func(o ctl.Output) error { return ctl.ConfigHistory(o, c.first()) }
 
 	wait := config.Command("wait", "Wait until a version is in force on all nodes, and name those that lack it.")
 	version := wait.Arg("version", "The version.").Required().Uint64()
 	timeout := wait.Flag("timeout", "How long to wait.").Default("10s").Duration()
-	c.runs[wait.FullCommand()] = func(o ctl.Out) error { return ctl.ConfigWait(o, *c.nodes, *version, *timeout) }
+	c.runs[wait.FullCommand()] = func(o ctl.Output) error { return ctl.ConfigWait(o, *c.nodes, *version, *timeout) }
 }
 
 func changeFlags(cmd *kingpin.CmdClause) *ctl.Change {
@@ -92,28 +92,28 @@
 
 func (c *command) watch() {
 	status := c.app.Command("status", "Print the state of all nodes.")
-	c.runs[status.FullCommand()] = func(o ctl.Out) error { return ctl.StatusOf(o, *c.nodes) }
+	c.runs[status.FullCommand()] = func(o ctl.Output) error { return ctl.StatusOf(o, *c.nodes) }
 
 	members := c.app.Command("members", "Print the members of the failure domains.")
-	c.runs[members.FullCommand()] = func(o ctl.Out) error { return ctl.Members(o, *c.nodes) }
+	c.runs[members.FullCommand()] = func(o ctl.Output) error { return ctl.Members(o, *c.nodes) }
 
 	quarantine := c.app.Command("quarantine", "Print which requests are refused as they end the backend servers that run them.")
-	c.runs[quarantine.FullCommand()] = func(o ctl.Out) error { return ctl.Quarantine(o, *c.nodes) }
+	c.runs[quarantine.FullCommand()] = func(o ctl.Output) error { return ctl.Quarantine(o, *c.nodes) }
 
 	requests := c.app.Command("requests", "Print why requests were shed, routed or retried.")
 	id := requests.Flag("id", "Only the request with this id.").String()
 	reason := requests.Flag("reason", "Only requests with this reason, such as overload.").String()
-	c.runs[requests.FullCommand()] = func(o ctl.Out) error { return ctl.Requests(o, *c.nodes, *id, *reason) }
+	c.runs[requests.FullCommand()] = func(o ctl.Output) error { return ctl.Requests(o, *c.nodes, *id, *reason) }
 
 	explain := c.app.Command("explain", "Tell the story of a request from the logs of one or many processes.")
 	of := explain.Arg("id", "The request's id.").Required().String()
 	logs := explain.Arg("log", "Log files; - is standard input.").Default("-").Strings()
-	c.runs[explain.FullCommand()] = func(o ctl.Out) error { return ctl.Explain(o.W, *of, *logs) }
+	c.runs[explain.FullCommand()] = func(o ctl.Output) error { return ctl.Explain(o.W, *of, *logs) }
 
 	report := c.app.Command("report", "Reports over the fleet.")
 	burnCmd := report.Command("burn", "Service-level burn by request kind, refusals by reason, retries, recovery after overloads.")
 	html := burnCmd.Flag("html", "Also write it as one self-contained HTML page.").String()
-	c.runs[burnCmd.FullCommand()] = func(o ctl.Out) error { return ctl.ReportBurn(o, *c.nodes, *html) }
+	c.runs[burnCmd.FullCommand()] = func(o ctl.Output) error { return ctl.ReportBurn(o, *c.nodes, *html) }
 
 	reference := c.app.Command("settings", "Print the reference of all settings as Markdown, from the program's own table.")
 	c.runs[reference.FullCommand()] = ctl.SettingsReference
@@ -121,20 +121,20 @@
 	charts := c.app.Command("charts", "Print the state charts that the program runs by.")
 	name := charts.Arg("name", "Only this chart.").String()
 	format := charts.Flag("format", "The language of the drawing.").Default("mermaid").Enum("mermaid", "graphviz")
-	c.runs[charts.FullCommand()] = func(o ctl.Out) error { return ctl.Charts(o, *name, *format) }
+	c.runs[charts.FullCommand()] = func(o ctl.Output) error { return ctl.Charts(o, *name, *format) }
 
 	events := c.app.Command("events", "Print the last decisions of note, in the order of time across the nodes.")
-	c.runs[events.FullCommand()] = func(o ctl.Out) error { return ctl.Events(o, *c.nodes) }
+	c.runs[events.FullCommand()] = func(o ctl.Output) error { return ctl.Events(o, *c.nodes) }
 }
 
 func (c *command) act() {
 	drain := c.app.Command("drain", "Keep new work away from the backend server beside a node.")
 	undo := drain.Flag("undo", "Let work back.").Bool()
-	c.runs[drain.FullCommand()] = func(o ctl.Out) error { return ctl.Drain(o, c.first(), !*undo) }
+	c.runs[drain.FullCommand()] = func(o ctl.Output) error { return ctl.Drain(o, c.first(), !*undo) }
 
 	replicas := c.app.Command("replicas", "Manage the replicas of the durable state.")
 	form := replicas.Command("form", "Form the replica groups on a node with a new data folder. Do this once in the life of a fleet.")
 	show := replicas.Command("show", "Print the groups as their leaders see them: members, whether one more loss is borne, the last repair.")
-	c.runs[show.FullCommand()] = func(o ctl.Out) error { return ctl.Replicas(o, *c.nodes) }
-	c.runs[form.FullCommand()] = func(o ctl.Out) error { return ctl.Form(o, c.first()) }
+	c.runs[show.FullCommand()] = func(o ctl.Output) error { return ctl.Replicas(o, *c.nodes) }
+	c.runs[form.FullCommand()] = func(o ctl.Output) error { return ctl.Form(o, c.first()) }
 }
--- a/internal/ctl/burn.go
+++ b/internal/ctl/burn.go
@@ -158,7 +158,7 @@
 
 // ReportBurn prints the report, and writes it as an HTML page if a path is
 // given.
-func ReportBurn(o Out, admins []string, html string) error {
+func ReportBurn(o Output, admins []string, html string) error {
 	r, err := Gather(admins)
 	if err != nil {
 		return err
@@ -178,7 +178,7 @@
 	return r.print(o)
 }
 
-func (r *Report) print(o Out) error {
+func (r *Report) print(o Output) error {
 	head := []any{"KIND", "CLASS", "OBJECTIVE"}
 	for _, w := range burn.Windows {
 		head = append(head, "BURN "+w.Name)
--- a/internal/ctl/config.go
+++ b/internal/ctl/config.go
@@ -19,7 +19,7 @@
 )
 
 // Out prints results, as text or as JSON.
-type Out struct {
+type Output struct {
 	W    io.Writer
 	JSON bool
 }
@@ -36,7 +36,7 @@
 }
 
 // ConfigGet prints the settings below a scope.
-func ConfigGet(o Out, c *Client, scope string, current bool) error {
+func ConfigGet(o Output, c *Client, scope string, current bool) error {
 	d, err := c.Document(current)
 	if err != nil {
 		return err
@@ -86,7 +86,7 @@
 }
 
 // ConfigSet makes a change, or shows it.
-func ConfigSet(o Out, c *Client, ch Change) error {
+func ConfigSet(o Output, c *Client, ch Change) error {
 	d, err := c.Document(ch.Base == 0)
 	if err != nil {
 		return err
@@ -181,7 +181,7 @@
 	return fleet
 }
 
-func printPatch(o Out, before settings.Entries, p settings.Patch) error {
+func printPatch(o Output, before settings.Entries, p settings.Patch) error {
 	if o.JSON {
 		return o.json(p)
 	}
@@ -198,7 +198,7 @@
 }
 
 // ConfigExplain prints each effective value of a scope and where it is from.
-func ConfigExplain(o Out, c *Client, scope string) error {
+func ConfigExplain(o Output, c *Client, scope string) error {
 	var ex []settings.Explained
 	if err := c.Get("/v1/config/explain", url.Values{"scope": {scope}}, &ex); err != nil {
 		return err
@@ -214,7 +214,7 @@
 }
 
 // ConfigHistory prints the last changes.
-func ConfigHistory(o Out, c *Client) error {
+func ConfigHistory(o Output, c *Client) error {
 	var cs []confstore.Change
 	if err := c.Get("/v1/config/history", nil, &cs); err != nil {
 		return err
@@ -235,7 +235,7 @@
 
 // ConfigWait waits until all nodes that can be found have a version, and names
 // those that do not.
-func ConfigWait(o Out, admins []string, version uint64, timeout time.Duration) error {
+func ConfigWait(o Output, admins []string, version uint64, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	for {
 		have, behind, err := versions(admins, version)
--- a/internal/ctl/show.go
+++ b/internal/ctl/show.go
@@ -13,9 +13,9 @@
 	"github.com/umberthread/umberthread/internal/node"
 )
 
-func (o Out) printf(format string, args ...any) { _, _ = fmt.Fprintf(o.W, format, args...) }
+func (o Output) printf(format string, args ...any) { _, _ = fmt.Fprintf(o.W, format, args...) }
 
-func (o Out) json(v any) error {
+func (o Output) json(v any) error {
 	enc := json.NewEncoder(o.W)
 	enc.SetIndent("", "  ")
 	if err := enc.Encode(v); err != nil {
@@ -26,7 +26,7 @@
 
 type table struct{ w *tabwriter.Writer }
 
-func (o Out) table(head ...any) *table {
+func (o Output) table(head ...any) *table {
 	t := &table{tabwriter.NewWriter(o.W, 0, 0, 2, ' ', 0)}
 	t.row(head...)
 	return t
@@ -80,7 +80,7 @@
 }
 
 // StatusOf prints the state of the nodes.
-func StatusOf(o Out, admins []string) error {
+func StatusOf(o Output, admins []string) error {
 	all, err := Fleet(admins)
 	if err != nil {
 		return err
@@ -168,7 +168,7 @@
 }
 
 // Members prints the members of the nodes' failure domains.
-func Members(o Out, admins []string) error {
+func Members(o Output, admins []string) error {
 	seen := map[string]node.MemberStatus{}
 	for _, a := range AskAll[[]node.MemberStatus](admins, "/v1/members", nil) {
 		if a.Err != nil {
@@ -194,7 +194,7 @@
 }
 
 // Requests prints what became of requests and why.
-func Requests(o Out, admins []string, id, reason string) error {
+func Requests(o Output, admins []string, id, reason string) error {
 	all, err := Fleet(admins)
 	if err != nil {
 		return err
@@ -223,7 +223,7 @@
 }
 
 // Events prints the decisions of note, in the order of time across the nodes.
-func Events(o Out, admins []string) error {
+func Events(o Output, admins []string) error {
 	all, err := Fleet(admins)
 	if err != nil {
 		return err
@@ -244,7 +244,7 @@
 }
 
 // Drain keeps new work away from a node's backend server, or lets it back.
-func Drain(o Out, c *Client, on bool) error {
+func Drain(o Output, c *Client, on bool) error {
 	var s node.Status
 	if err := c.Post(fmt.Sprintf("/v1/drain?on=%v", on), nil, &s); err != nil {
 		return err
@@ -261,7 +261,7 @@
 }
 
 // Form makes the replica of a node the first of the groups.
-func Form(o Out, c *Client) error {
+func Form(o Output, c *Client) error {
 	var s node.ReplicaStatus
 	if err := c.Post("/v1/replicas/form", nil, &s); err != nil {
 		return err
