--- a/internal/ctl/burn.go
+++ b/internal/ctl/burn.go
@@ -68,7 +68,7 @@
 	kinds := map[string]*ReportKind{}
 	overloads := map[string]*ReportOverload{}
 	answered, known := map[string]bool{}, map[string]bool{}
-	for _, a := range AskAll[node.BurnReport](all, "/v1/burn", nil) {
+	for _, a := range QueryAll[node.BurnReport](all, "/v1/burn", nil) {
 		if a.Err != nil {
 			r.Silent = append(r.Silent, a.Node)
 			continue
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -91,7 +91,7 @@
 const askAtOnce = 32
 
 // AskAll asks the nodes at the given admin addresses, several at a time.
-func AskAll[T any](admins []string, path string, query url.Values) []Answered[T] {
+func QueryAll[T any](admins []string, path string, query url.Values) []Answered[T] {
 	out := make([]Answered[T], len(admins))
 	var wg sync.WaitGroup
 	room := make(chan struct{}, askAtOnce)
--- a/internal/ctl/config.go
+++ b/internal/ctl/config.go
@@ -261,7 +261,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	for _, s := range AskAll[node.Status](all, "/v1/status", nil) {
+	for _, s := range QueryAll[node.Status](all, "/v1/status", nil) {
 		switch {
 		case s.Err != nil:
 			behind = append(behind, s.Node+" (does not answer)")
--- a/internal/ctl/quarantine.go
+++ b/internal/ctl/quarantine.go
@@ -28,7 +28,7 @@
 		return err
 	}
 	var lists [][]node.QuarantineStatus
-	for _, a := range AskAll[node.Status](all, "/v1/status", nil) {
+	for _, a := range QueryAll[node.Status](all, "/v1/status", nil) {
 		lists = append(lists, a.Value.Quarantined)
 	}
 	marks := mergeQuarantined(lists)
--- a/internal/ctl/replicas.go
+++ b/internal/ctl/replicas.go
@@ -23,7 +23,7 @@
 		return err
 	}
 	groups := []replicaGroup{}
-	for _, a := range AskAll[node.Status](all, "/v1/status", nil) {
+	for _, a := range QueryAll[node.Status](all, "/v1/status", nil) {
 		if a.Err != nil || a.Value.Replica == nil {
 			continue
 		}
--- a/internal/ctl/show.go
+++ b/internal/ctl/show.go
@@ -55,7 +55,7 @@
 	seen := map[string]bool{}
 	var last error
 	answered := false
-	for _, a := range AskAll[[]node.MemberStatus](admins, "/v1/members", nil) {
+	for _, a := range QueryAll[[]node.MemberStatus](admins, "/v1/members", nil) {
 		if a.Err != nil {
 			last = a.Err
 			seen[a.Node] = true
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	got := AskAll[node.Status](all, "/v1/status", nil)
+	got := QueryAll[node.Status](all, "/v1/status", nil)
 	sort.Slice(got, func(i, j int) bool {
 		return got[i].Value.Domain+got[i].Value.Name < got[j].Value.Domain+got[j].Value.Name
 	})
@@ -170,7 +170,7 @@
 // Members prints the members of the nodes' failure domains.
 func Members(o Output, admins []string) error {
 	seen := map[string]node.MemberStatus{}
-	for _, a := range AskAll[[]node.MemberStatus](admins, "/v1/members", nil) {
+	for _, a := range QueryAll[[]node.MemberStatus](admins, "/v1/members", nil) {
 		if a.Err != nil {
 			return a.Err
 		}
@@ -207,7 +207,7 @@
 		q.Set("reason", reason)
 	}
 	var out []node.Trace
-	for _, a := range AskAll[[]node.Trace](all, "/v1/requests", q) {
+	for _, a := range QueryAll[[]node.Trace](all, "/v1/requests", q) {
 		out = append(out, a.Value...)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Time.Before(out[j].Time) })
@@ -229,7 +229,7 @@
 		return err
 	}
 	var out []node.Event
-	for _, a := range AskAll[[]node.Event](all, "/v1/events", nil) {
+	for _, a := range QueryAll[[]node.Event](all, "/v1/events", nil) {
 		out = append(out, a.Value...)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Time.Before(out[j].Time) })
