--- a/cmd/umberbench/scale.go
+++ b/cmd/umberbench/scale.go
@@ -136,7 +136,7 @@
 	c := ctl.NewClient(f.Nodes[0].Admin)
 	var out []time.Duration
 	for i := range n {
-		d, err := c.Document(true)
+		d, err := c.Settings(true)
 		if err != nil {
 			return nil, err
 		}
--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -167,7 +167,7 @@
 	id := uuid.NewString()
 	var res node.ChangeResult
 	err := harness.Await(10*time.Second, func() error {
-		d, err := c.Document(true)
+		d, err := c.Settings(true)
 		if err != nil {
 			return err
 		}
--- a/e2e/state_test.go
+++ b/e2e/state_test.go
@@ -43,7 +43,7 @@
 		last = v2
 	}
 	f.ok(f.AwaitVersion(last, 5*time.Second))
-	d, err := ctl.NewClient(f.Nodes[0].Admin).Document(true)
+	d, err := ctl.NewClient(f.Nodes[0].Admin).Settings(true)
 	f.ok(err)
 	for k, v := range accepted {
 		f.g.Expect(d.Entries).To(gomega.HaveKeyWithValue(k, v))
@@ -60,7 +60,7 @@
 	v, err := f.change(f.other(l), settings.Entries{"#deadline": "2s"})
 	f.ok(err)
 	f.Nodes[l].Signal(syscall.SIGCONT)
-	d, err := ctl.NewClient(f.Nodes[l].Admin).Document(true)
+	d, err := ctl.NewClient(f.Nodes[l].Admin).Settings(true)
 	f.ok(err)
 	f.g.Expect(d.Version).To(gomega.BeNumerically(">=", v))
 	f.ok(f.AwaitVersion(v, 5*time.Second))
@@ -94,7 +94,7 @@
 	}
 	// Only the two repaired ones are left.
 	f.kill(f.Nodes[0])
-	d, err := ctl.NewClient(f.Nodes[1].Admin).Document(true)
+	d, err := ctl.NewClient(f.Nodes[1].Admin).Settings(true)
 	f.ok(err)
 	f.g.Expect(d.Version).To(gomega.Equal(v))
 	f.g.Expect(d.Entries).To(gomega.HaveKeyWithValue("suva#deadline", "2s"))
@@ -156,7 +156,7 @@
 	plain := f.node("suva-a", false)
 	var v uint64
 	c := ctl.NewClient(f.Nodes[0].Admin)
-	d, err := c.Document(true)
+	d, err := c.Settings(true)
 	f.ok(err)
 	v = d.Version
 	for i := range 500 {
--- a/internal/ctl/config.go
+++ b/internal/ctl/config.go
@@ -26,7 +26,7 @@
 
 // Document reads the settings, those in force on the node or, if current, those
 // that a quorum confirms.
-func (c *Client) Document(current bool) (*node.ConfigDocument, error) {
+func (c *Client) Settings(current bool) (*node.ConfigDocument, error) {
 	q := url.Values{}
 	if current {
 		q.Set("current", "true")
@@ -37,7 +37,7 @@
 
 // ConfigGet prints the settings below a scope.
 func ConfigGet(o Output, c *Client, scope string, current bool) error {
-	d, err := c.Document(current)
+	d, err := c.Settings(current)
 	if err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 
 // ConfigSet makes a change, or shows it.
 func ConfigSet(o Output, c *Client, ch Change) error {
-	d, err := c.Document(ch.Base == 0)
+	d, err := c.Settings(ch.Base == 0)
 	if err != nil {
 		return err
 	}
