--- a/cmd/umberctl/main.go
+++ b/cmd/umberctl/main.go
@@ -79,8 +79,8 @@
 	c.runs[wait.FullCommand()] = func(o ctl.Output) error { return ctl.ConfigWait(o, *c.nodes, *version, *timeout) }
 }
 
-func changeFlags(cmd *kingpin.CmdClause) *ctl.Change {
-	ch := &ctl.Change{}
+func changeFlags(cmd *kingpin.CmdClause) *ctl.SettingsChange {
+	ch := &ctl.SettingsChange{}
 	cmd.Arg("change", "scope#key=value; the default's scope is empty: #deadline=5s").StringsVar(&ch.Set)
 	cmd.Flag("file", "A TOML document that replaces the fleets that it describes. Repeat for more.").Short('f').StringsVar(&ch.Files)
 	cmd.Flag("unset", "scope#key to remove. Repeat for more.").StringsVar(&ch.Unset)
--- a/internal/ctl/config.go
+++ b/internal/ctl/config.go
@@ -69,7 +69,7 @@
 }
 
 // Change describes a change to make.
-type Change struct {
+type SettingsChange struct {
 	// Files are TOML documents that replace the fleets and the default that
 	// they describe.
 	Files []string
@@ -86,7 +86,7 @@
 }
 
 // ConfigSet makes a change, or shows it.
-func ConfigSet(o Output, c *Client, ch Change) error {
+func ConfigSet(o Output, c *Client, ch SettingsChange) error {
 	d, err := c.Settings(ch.Base == 0)
 	if err != nil {
 		return err
@@ -133,7 +133,7 @@
 	return u.Username
 }
 
-func (ch *Change) apply(from *settings.Tree) (*settings.Tree, error) {
+func (ch *SettingsChange) apply(from *settings.Tree) (*settings.Tree, error) {
 	entries := from.Entries()
 	for _, f := range ch.Files {
 		data, err := os.ReadFile(f)
