--- a/cmd/umberctl/main.go
+++ b/cmd/umberctl/main.go
@@ -92,7 +92,7 @@
 
 func (c *command) watch() {
 	status := c.app.Command("status", "Print the state of all nodes.")
-	c.runs[status.FullCommand()] = func(o ctl.Output) error { return ctl.StatusOf(o, *c.nodes) }
+	c.runs[status.FullCommand()] = func(o ctl.Output) error { return ctl.PrintStatus(o, *c.nodes) }
 
 	members := c.app.Command("members", "Print the members of the failure domains.")
 	c.runs[members.FullCommand()] = func(o ctl.Output) error { return ctl.Members(o, *c.nodes) }
--- a/internal/ctl/show.go
+++ b/internal/ctl/show.go
@@ -80,7 +80,7 @@
 }
 
 // StatusOf prints the state of the nodes.
-func StatusOf(o Output, admins []string) error {
+func PrintStatus(o Output, admins []string) error {
 	all, err := Fleet(admins)
 	if err != nil {
 		return err
