--- a/cmd/umberctl/main.go
+++ b/cmd/umberctl/main.go
@@ -95,7 +95,7 @@
 	c.runs[status.FullCommand()] = func(o ctl.Output) error { return ctl.PrintStatus(o, *c.nodes) }
 
 	members := c.app.Command("members", "Print the members of the failure domains.")
-	c.runs[members.FullCommand()] = func(o ctl.Output) error { return ctl.Members(o, *c.nodes) }
+	c.runs[members.FullCommand()] = func(o ctl.Output) error { return ctl.PrintMembers(o, *c.nodes) }
 
 	quarantine := c.app.Command("quarantine", "Print which requests are refused as they end the backend servers that run them.")
 	c.runs[quarantine.FullCommand()] = func(o ctl.Output) error { return ctl.Quarantine(o, *c.nodes) }
--- a/internal/ctl/show.go
+++ b/internal/ctl/show.go
@@ -168,7 +168,7 @@
 }
 
 // Members prints the members of the nodes' failure domains.
-func Members(o Output, admins []string) error {
+func PrintMembers(o Output, admins []string) error {
 	seen := map[string]node.MemberStatus{}
 	for _, a := range QueryAll[[]node.MemberStatus](admins, "/v1/members", nil) {
 		if a.Err != nil {
