--- a/cmd/umberctl/main.go
+++ b/cmd/umberctl/main.go
@@ -103,7 +103,7 @@
 	requests := c.app.Command("requests", "Print why requests were shed, routed or retried.")
 	id := requests.Flag("id", "Only the request with this id.").String()
 	reason := requests.Flag("reason", "Only requests with this reason, such as overload.").String()
-	c.runs[requests.FullCommand()] = func(o ctl.Output) error { return ctl.Requests(o, *c.nodes, *id, *reason) }
+	c.runs[requests.FullCommand()] = func(o ctl.Output) error { return ctl.PrintRequests(o, *c.nodes, *id, *reason) }
 
 	explain := c.app.Command("explain", "Tell the story of a request from the logs of one or many processes.")
 	of := explain.Arg("id", "The request's id.").Required().String()
--- a/internal/ctl/show.go
+++ b/internal/ctl/show.go
@@ -194,7 +194,7 @@
 }
 
 // Requests prints what became of requests and why.
-func Requests(o Output, admins []string, id, reason string) error {
+func PrintRequests(o Output, admins []string, id, reason string) error {
 	all, err := Fleet(admins)
 	if err != nil {
 		return err
