--- a/cmd/umberctl/main.go
+++ b/cmd/umberctl/main.go
@@ -124,7 +124,7 @@
 	c.runs[charts.FullCommand()] = func(o ctl.Output) error { return ctl.Charts(o, *name, *format) }
 
 	events := c.app.Command("events", "Print the last decisions of note, in the order of time across the nodes.")
-	c.runs[events.FullCommand()] = func(o ctl.Output) error { return ctl.Events(o, *c.nodes) }
+	c.runs[events.FullCommand()] = func(o ctl.Output) error { return ctl.PrintEvents(o, *c.nodes) }
 }
 
 func (c *command) act() {
--- a/internal/ctl/show.go
+++ b/internal/ctl/show.go
@@ -223,7 +223,7 @@
 }
 
 // Events prints the decisions of note, in the order of time across the nodes.
-func Events(o Output, admins []string) error {
+func PrintEvents(o Output, admins []string) error {
 	all, err := Fleet(admins)
 	if err != nil {
 		return err
