--- a/cmd/umberctl/main.go
+++ b/cmd/umberctl/main.go
@@ -108,7 +108,7 @@
 	explain := c.app.Command("explain", "Tell the story of a request from the logs of one or many processes.")
 	of := explain.Arg("id", "The request's id.").Required().String()
 	logs := explain.Arg("log", "Log files; - is standard input.").Default("-").Strings()
-	c.runs[explain.FullCommand()] = func(o ctl.Output) error { return ctl.Explain(o.W, *of, *logs) }
+	c.runs[explain.FullCommand()] = func(o ctl.Output) error { return ctl.PrintRequestLog(o.W, *of, *logs) }
 
 	report := c.app.Command("report", "Reports over the fleet.")
 	burnCmd := report.Command("burn", "Service-level burn by request kind, refusals by reason, retries, recovery after overloads.")
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -21,7 +21,7 @@
 // Explain writes, in order of time, the lines that tell of a request: those
 // with its id, and those of the calls that were made for it. The logs of
 // several processes may be given, as files or, for "-", as standard input.
-func Explain(out io.Writer, id string, files []string) error {
+func PrintRequestLog(out io.Writer, id string, files []string) error {
 	var lines []logLine
 	for _, name := range files {
 		found, err := linesOf(id, name)
--- a/internal/ctl/explain_test.go
+++ b/internal/ctl/explain_test.go
@@ -27,14 +27,14 @@
 	serving := write("serving.log", `level=info ts=2026-01-01T00:00:01Z part=serve msg="Not run, or not to an end." id=abc.7 kind=mesh/t/q reason=rejected
 `)
 	var b strings.Builder
-	g.Expect(Explain(&b, "abc", []string{entry, serving})).To(gomega.Succeed())
+	g.Expect(PrintRequestLog(&b, "abc", []string{entry, serving})).To(gomega.Succeed())
 	lines := strings.Split(strings.TrimSpace(b.String()), "\n")
 	g.Expect(lines).To(gomega.HaveLen(2))
 	g.Expect(lines[0]).To(gomega.ContainSubstring("reason=rejected"))
 	g.Expect(lines[1]).To(gomega.ContainSubstring("outcome=overload run=no"))
 
-	err := Explain(&b, "nobody", []string{entry})
+	err := PrintRequestLog(&b, "nobody", []string{entry})
 	g.Expect(fault.CodeOf(err)).To(gomega.Equal(fault.NotFound))
 	bad := write("bad.log", "id=\"unterminated\nid=abc\n")
-	g.Expect(fault.CodeOf(Explain(&b, "abc", []string{bad}))).To(gomega.Equal(fault.BadRequest))
+	g.Expect(fault.CodeOf(PrintRequestLog(&b, "abc", []string{bad}))).To(gomega.Equal(fault.BadRequest))
 }
