--- a/cmd/umberctl/main.go
+++ b/cmd/umberctl/main.go
@@ -113,7 +113,7 @@
 	report := c.app.Command("report", "Reports over the fleet.")
 	burnCmd := report.Command("burn", "Service-level burn by request kind, refusals by reason, retries, recovery after overloads.")
 	html := burnCmd.Flag("html", "Also write it as one self-contained HTML page.").String()
-	c.runs[burnCmd.FullCommand()] = func(o ctl.Output) error { return ctl.ReportBurn(o, *c.nodes, *html) }
+	c.runs[burnCmd.FullCommand()] = func(o ctl.Output) error { return ctl.PrintBurn(o, *c.nodes, *html) }
 
 	reference := c.app.Command("settings", "Print the reference of all settings as Markdown, from the program's own table.")
 	c.runs[reference.FullCommand()] = ctl.SettingsReference
--- a/internal/ctl/burn.go
+++ b/internal/ctl/burn.go
@@ -158,7 +158,7 @@
 
 // ReportBurn prints the report, and writes it as an HTML page if a path is
 // given.
-func ReportBurn(o Output, admins []string, html string) error {
+func PrintBurn(o Output, admins []string, html string) error {
 	r, err := Gather(admins)
 	if err != nil {
 		return err
