--- a/internal/ctl/replicas.go
+++ b/internal/ctl/replicas.go
@@ -17,7 +17,7 @@
 
 // Replicas prints the replica groups as their leaders see them: the members,
 // whether one more loss is borne, and how long it was not the last time.
-func Replicas(o Output, admins []string) error {
+func PrintReplicas(o Output, admins []string) error {
 	all, err := Fleet(admins)
 	if err != nil {
 		return err
