--- a/cmd/umberctl/main.go
+++ b/cmd/umberctl/main.go
@@ -98,7 +98,7 @@
 	c.runs[members.FullCommand()] = func(o ctl.Output) error { return ctl.PrintMembers(o, *c.nodes) }
 
 	quarantine := c.app.Command("quarantine", "Print which requests are refused as they end the backend servers that run them.")
-	c.runs[quarantine.FullCommand()] = func(o ctl.Output) error { return ctl.Quarantine(o, *c.nodes) }
+	c.runs[quarantine.FullCommand()] = func(o ctl.Output) error { return ctl.PrintQuarantine(o, *c.nodes) }
 
 	requests := c.app.Command("requests", "Print why requests were shed, routed or retried.")
 	id := requests.Flag("id", "Only the request with this id.").String()
--- a/internal/ctl/quarantine.go
+++ b/internal/ctl/quarantine.go
@@ -22,7 +22,7 @@
 }
 
 // Quarantine prints which requests are refused as they end backend servers.
-func Quarantine(o Output, admins []string) error {
+func PrintQuarantine(o Output, admins []string) error {
 	all, err := Fleet(admins)
 	if err != nil {
 		return err
