--- a/cmd/umberctl/main.go
+++ b/cmd/umberctl/main.go
@@ -136,5 +136,5 @@
 	form := replicas.Command("form", "Form the replica groups on a node with a new data folder. Do this once in the life of a fleet.")
 	show := replicas.Command("show", "Print the groups as their leaders see them: members, whether one more loss is borne, the last repair.")
 	c.runs[show.FullCommand()] = func(o ctl.Output) error { return ctl.PrintReplicas(o, *c.nodes) }
-	c.runs[form.FullCommand()] = func(o ctl.Output) error { return ctl.Form(o, c.first()) }
+	c.runs[form.FullCommand()] = func(o ctl.Output) error { return ctl.FormGroups(o, c.first()) }
 }
--- a/internal/ctl/show.go
+++ b/internal/ctl/show.go
@@ -261,7 +261,7 @@
 }
 
 // Form makes the replica of a node the first of the groups.
-func Form(o Output, c *Client) error {
+func FormGroups(o Output, c *Client) error {
 	var s node.ReplicaStatus
 	if err := c.Post("/v1/replicas/form", nil, &s); err != nil {
 		return err
