--- a/cmd/umberctl/main.go
+++ b/cmd/umberctl/main.go
@@ -121,7 +121,7 @@
 	charts := c.app.Command("charts", "Print the state charts that the program runs by.")
 	name := charts.Arg("name", "Only this chart.").String()
 	format := charts.Flag("format", "The language of the drawing.").Default("mermaid").Enum("mermaid", "graphviz")
-	c.runs[charts.FullCommand()] = func(o ctl.Output) error { return ctl.Charts(o, *name, *format) }
+	c.runs[charts.FullCommand()] = func(o ctl.Output) error { return ctl.PrintCharts(o, *name, *format) }
 
 	events := c.app.Command("events", "Print the last decisions of note, in the order of time across the nodes.")
 	c.runs[events.FullCommand()] = func(o ctl.Output) error { return ctl.PrintEvents(o, *c.nodes) }
--- a/internal/ctl/charts.go
+++ b/internal/ctl/charts.go
@@ -3,7 +3,7 @@
 import "github.com/umberthread/umberthread/internal/chart"
 
 // Charts prints the state charts as text for a drawing tool.
-func Charts(o Output, only, format string) error {
+func PrintCharts(o Output, only, format string) error {
 	names := chart.Names()
 	if only != "" {
 		names = []string{only}
