--- a/cmd/umberctl/main.go
+++ b/cmd/umberctl/main.go
@@ -116,7 +116,7 @@
 	c.runs[burnCmd.FullCommand()] = func(o ctl.Output) error { return ctl.PrintBurn(o, *c.nodes, *html) }
 
 	reference := c.app.Command("settings", "Print the reference of all settings as Markdown, from the program's own table.")
-	c.runs[reference.FullCommand()] = ctl.SettingsReference
+	c.runs[reference.FullCommand()] = ctl.PrintSettingsReference
 
 	charts := c.app.Command("charts", "Print the state charts that the program runs by.")
 	name := charts.Arg("name", "Only this chart.").String()
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -19,7 +19,7 @@
 func TestSettingsPageIsCurrent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var b bytes.Buffer
-	g.Expect(SettingsReference(Output{W: &b})).To(gomega.Succeed())
+	g.Expect(PrintSettingsReference(Output{W: &b})).To(gomega.Succeed())
 	page, err := os.ReadFile("../../docs/SETTINGS.md")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(string(page)).To(gomega.Equal(b.String()), "run: bin/umberctl settings > docs/SETTINGS.md")
--- a/internal/ctl/reference.go
+++ b/internal/ctl/reference.go
@@ -22,7 +22,7 @@
 `
 
 // SettingsReference prints the reference page.
-func SettingsReference(o Output) error {
+func PrintSettingsReference(o Output) error {
 	if o.JSON {
 		return o.json(settings.Keys())
 	}
