--- a/cmd/umberctl/main.go
+++ b/cmd/umberctl/main.go
@@ -130,7 +130,7 @@
 func (c *command) act() {
 	drain := c.app.Command("drain", "Keep new work away from the backend server beside a node.")
 	undo := drain.Flag("undo", "Let work back.").Bool()
-	c.runs[drain.FullCommand()] = func(o ctl.Output) error { return ctl.Drain(o, c.first(), !*undo) }
+	c.runs[drain.FullCommand()] = func(o ctl.Output) error { return ctl.SetDrained(o, c.first(), !*undo) }
 
 	replicas := c.app.Command("replicas", "Manage the replicas of the durable state.")
 	form := replicas.Command("form", "Form the replica groups on a node with a new data folder. Do this once in the life of a fleet.")
--- a/internal/ctl/show.go
+++ b/internal/ctl/show.go
@@ -244,7 +244,7 @@
 }
 
 // Drain keeps new work away from a node's backend server, or lets it back.
-func Drain(o Output, c *Client, on bool) error {
+func SetDrained(o Output, c *Client, on bool) error {
 	var s node.Status
 	if err := c.Post(fmt.Sprintf("/v1/drain?on=%v", on), nil, &s); err != nil {
 		return err
