--- a/internal/ctl/burn.go
+++ b/internal/ctl/burn.go
@@ -12,29 +12,29 @@
 	"github.com/umberthread/umberthread/internal/node"
 )
 
-// Report is the service-level burn of the fleet.
-type Report struct {
-	At    time.Time    `json:"at"`
-	Kinds []ReportKind `json:"kinds"`
-	// Refusals counts all refusals by reason since the nodes started.
+// BurnReport holds the error-budget burn of the fleet.
+type BurnReport struct {
+	At    time.Time  `json:"at"`
+	Kinds []KindBurn `json:"kinds"`
+	// Refusals counts the refusals since the nodes started, by reason.
 	Refusals map[string]int64 `json:"refusals"`
 	Retries  int64            `json:"retries"`
-	// Overloads are the last overloads by service.
-	Overloads []ReportOverload `json:"overloads,omitempty"`
-	// Unknown are the failure domains whose share is missing: they are cut
-	// off, or no node of theirs was asked.
+	// Overloads holds the last overload of each service.
+	Overloads []OverloadPeriod `json:"overloads,omitempty"`
+	// Unknown lists the failure domains of which no node responded; their requests
+	// are not counted.
 	Unknown []string `json:"unknown_domains,omitempty"`
-	// Silent are the nodes that did not answer.
+	// Silent lists the admin addresses of nodes that did not respond.
 	Silent []string `json:"silent_nodes,omitempty"`
 	Nodes  int      `json:"nodes"`
 }
 
-// ReportKind is the burn of one request kind.
-type ReportKind struct {
+// KindBurn is the error-budget burn of one request kind.
+type KindBurn struct {
 	Kind      string  `json:"kind"`
 	Class     string  `json:"class"`
 	Objective float64 `json:"objective"`
-	// Counts and Rates have one entry for each of burn.Windows.
+	// Counts and Rates have an entry for each of burn.Windows.
 	Counts [len(burn.Windows)]burn.Count `json:"counts"`
 	Rates  [len(burn.Windows)]float64    `json:"burn_rates"`
 	Alert  string                        `json:"alert,omitempty"`
@@ -42,31 +42,31 @@
 	Sheds  map[string]int64              `json:"failures"`
 }
 
-// ReportOverload is the last overload of a service.
-type ReportOverload struct {
+// OverloadPeriod is the last overload of a service.
+type OverloadPeriod struct {
 	Service string    `json:"service"`
 	Began   time.Time `json:"began"`
 	Ended   time.Time `json:"ended"`
-	Lasts   bool      `json:"lasts"`
+	Ongoing bool      `json:"lasts"`
 }
 
-// The burn rates that alert, over two windows each, as the SRE workbook
-// proposes for a budget of 30 days: 14.4 spends 2% of it in an hour, 6 spends
+// Burn rates that raise an alert if two windows reach them, as proposed by the
+// SRE workbook for a budget of 30 days: 14.4 spends 2% of it in an hour, 6 spends
 // 5% in six hours.
 const (
-	fastRate = 14.4
-	slowRate = 6.0
+	fastBurnRate = 14.4
+	slowBurnRate = 6.0
 )
 
-// Gather asks the nodes and adds up their shares.
-func Gather(admins []string) (*Report, error) {
-	all, err := Fleet(admins)
+// GatherBurnReport queries all nodes and sums their counts.
+func GatherBurnReport(admins []string) (*BurnReport, error) {
+	all, err := DiscoverAdmins(admins)
 	if err != nil {
 		return nil, err
 	}
-	r := &Report{At: time.Now(), Refusals: map[string]int64{}}
-	kinds := map[string]*ReportKind{}
-	overloads := map[string]*ReportOverload{}
+	r := &BurnReport{At: time.Now(), Refusals: map[string]int64{}}
+	kinds := map[string]*KindBurn{}
+	overloads := map[string]*OverloadPeriod{}
 	answered, known := map[string]bool{}, map[string]bool{}
 	for _, a := range QueryAll[node.BurnReport](all, "/v1/burn", nil) {
 		if a.Err != nil {
@@ -85,9 +85,9 @@
 		for i := range a.Value.Kinds {
 			addKind(kinds, &a.Value.Kinds[i])
 		}
-		addOverload(overloads, &a.Value)
+		mergeOverload(overloads, &a.Value)
 	}
-	r.finish(kinds, overloads)
+	r.computeRates(kinds, overloads)
 	for d := range known {
 		if !answered[d] {
 			r.Unknown = append(r.Unknown, d)
@@ -97,10 +97,11 @@
 	return r, nil
 }
 
-func addKind(kinds map[string]*ReportKind, k *node.BurnKind) {
+// addKind adds one node's counts of a request kind.
+func addKind(kinds map[string]*KindBurn, k *node.BurnKind) {
 	sum := kinds[k.Root]
 	if sum == nil {
-		sum = &ReportKind{Kind: k.Root, Class: k.Class, Objective: k.Objective, Steps: make([]burn.Count, len(k.Steps)), Sheds: map[string]int64{}}
+		sum = &KindBurn{Kind: k.Root, Class: k.Class, Objective: k.Objective, Steps: make([]burn.Count, len(k.Steps)), Sheds: map[string]int64{}}
 		kinds[k.Root] = sum
 	}
 	for i, c := range k.Counts {
@@ -116,15 +117,15 @@
 	}
 }
 
-// addOverload joins the overloads of a service's instances into the time from
-// the first that began to the last that ended.
-func addOverload(all map[string]*ReportOverload, b *node.BurnReport) {
+// mergeOverload extends the service's period to include the overload of one
+// instance: from the first start to the last end.
+func mergeOverload(all map[string]*OverloadPeriod, b *node.BurnReport) {
 	if b.Overload == nil || b.Service == "" {
 		return
 	}
 	o := all[b.Service]
 	if o == nil {
-		o = &ReportOverload{Service: b.Service, Began: b.Overload.Began}
+		o = &OverloadPeriod{Service: b.Service, Began: b.Overload.Began}
 		all[b.Service] = o
 	}
 	if b.Overload.Began.Before(o.Began) {
@@ -133,18 +134,20 @@
 	if b.Overload.Ended.After(o.Ended) {
 		o.Ended = b.Overload.Ended
 	}
-	o.Lasts = o.Lasts || b.Overload.Ended.IsZero()
+	o.Ongoing = o.Ongoing || b.Overload.Ended.IsZero()
 }
 
-func (r *Report) finish(kinds map[string]*ReportKind, overloads map[string]*ReportOverload) {
+// computeRates fills in the burn rates and alerts, and adds the sorted kinds and
+// overloads to the report.
+func (r *BurnReport) computeRates(kinds map[string]*KindBurn, overloads map[string]*OverloadPeriod) {
 	for _, k := range kinds {
 		for i, c := range k.Counts {
 			k.Rates[i] = c.Rate(k.Objective)
 		}
 		switch {
-		case k.Rates[1] >= fastRate && k.Rates[0] >= fastRate:
+		case k.Rates[1] >= fastBurnRate && k.Rates[0] >= fastBurnRate:
 			k.Alert = "fast"
-		case k.Rates[3] >= slowRate && k.Rates[2] >= slowRate:
+		case k.Rates[3] >= slowBurnRate && k.Rates[2] >= slowBurnRate:
 			k.Alert = "slow"
 		}
 		r.Kinds = append(r.Kinds, *k)
@@ -156,15 +159,15 @@
 	sort.Slice(r.Overloads, func(i, j int) bool { return r.Overloads[i].Service < r.Overloads[j].Service })
 }
 
-// ReportBurn prints the report, and writes it as an HTML page if a path is
-// given.
+// PrintBurn prints the burn report, and writes it as an HTML page to the path
+// html unless that is empty.
 func PrintBurn(o Output, admins []string, html string) error {
-	r, err := Gather(admins)
+	r, err := GatherBurnReport(admins)
 	if err != nil {
 		return err
 	}
 	if html != "" {
-		page, err := Page(r)
+		page, err := RenderPage(r)
 		if err != nil {
 			return err
 		}
@@ -178,7 +181,7 @@
 	return r.print(o)
 }
 
-func (r *Report) print(o Output) error {
+func (r *BurnReport) print(o Output) error {
 	head := []any{"KIND", "CLASS", "OBJECTIVE"}
 	for _, w := range burn.Windows {
 		head = append(head, "BURN "+w.Name)
@@ -187,17 +190,17 @@
 	for _, k := range r.Kinds {
 		row := []any{k.Kind, k.Class, fmt.Sprintf("%g%%", 100*k.Objective)}
 		for i, c := range k.Counts {
-			row = append(row, rateText(c, k.Rates[i]))
+			row = append(row, formatRate(c, k.Rates[i]))
 		}
 		hour := k.Counts[2]
-		t.row(append(row, fmt.Sprintf("%d of %d", hour.Good, hour.Total), dash(k.Alert), countsText(k.Sheds))...)
+		t.row(append(row, fmt.Sprintf("%d of %d", hour.Good, hour.Total), orDash(k.Alert), formatCounts(k.Sheds))...)
 	}
 	if err := t.flush(); err != nil {
 		return err
 	}
-	o.printf("\nretries %d; refusals %s; %d nodes\n", r.Retries, countsText(r.Refusals), r.Nodes)
+	o.printf("\nretries %d; refusals %s; %d nodes\n", r.Retries, formatCounts(r.Refusals), r.Nodes)
 	for _, ov := range r.Overloads {
-		o.printf("last overload of %s: %s\n", ov.Service, ov.text())
+		o.printf("last overload of %s: %s\n", ov.Service, ov.format())
 	}
 	if len(r.Unknown) > 0 {
 		o.printf("unknown, not counted: %s\n", strings.Join(r.Unknown, ", "))
@@ -208,22 +211,25 @@
 	return nil
 }
 
-func (ov *ReportOverload) text() string {
+// format describes the period in words.
+func (ov *OverloadPeriod) format() string {
 	began := ov.Began.UTC().Format(time.RFC3339)
-	if ov.Lasts {
+	if ov.Ongoing {
 		return "began " + began + " and lasts"
 	}
 	return fmt.Sprintf("began %s, over after %s", began, ov.Ended.Sub(ov.Began).Round(time.Millisecond))
 }
 
-func rateText(c burn.Count, rate float64) string {
+// formatRate formats a burn rate, "-" if there were no requests.
+func formatRate(c burn.Count, rate float64) string {
 	if c.Total == 0 {
 		return "-"
 	}
 	return fmt.Sprintf("%.2f", rate)
 }
 
-func countsText(m map[string]int64) string {
+// formatCounts lists the counts sorted by name, "-" if there are none.
+func formatCounts(m map[string]int64) string {
 	var names []string
 	for n := range m {
 		names = append(names, n)
@@ -233,5 +239,5 @@
 	for _, n := range names {
 		parts = append(parts, fmt.Sprintf("%s %d", n, m[n]))
 	}
-	return dash(strings.Join(parts, ", "))
+	return orDash(strings.Join(parts, ", "))
 }
--- a/internal/ctl/charts.go
+++ b/internal/ctl/charts.go
@@ -2,7 +2,8 @@
 
 import "github.com/umberthread/umberthread/internal/chart"
 
-// Charts prints the state charts as text for a drawing tool.
+// PrintCharts prints the state chart named only, or all if it is empty, as text
+// for Mermaid or, if format is "graphviz", for Graphviz.
 func PrintCharts(o Output, only, format string) error {
 	names := chart.Names()
 	if only != "" {
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -1,5 +1,5 @@
-// Package ctl is the body of the command-line tool: it asks nodes over their
-// admin addresses and prints what they say.
+// Package ctl implements the operators' command-line tool: it queries nodes over
+// their admin addresses and prints the results.
 package ctl
 
 import (
@@ -15,9 +15,10 @@
 	"github.com/umberthread/umberthread/internal/node"
 )
 
-const askTimeout = 10 * time.Second
+// requestTimeout bounds one request to a node.
+const requestTimeout = 10 * time.Second
 
-// Client asks one node.
+// Client sends requests to one node's admin address.
 type Client struct {
 	// Admin is the node's admin address.
 	Admin string
@@ -26,10 +27,11 @@
 
 // NewClient returns a client of the node with the given admin address.
 func NewClient(admin string) *Client {
-	return &Client{Admin: admin, http: http.Client{Timeout: askTimeout}}
+	return &Client{Admin: admin, http: http.Client{Timeout: requestTimeout}}
 }
 
-// Get reads the answer to a query into v.
+// Get sends a GET request and decodes the response into v. The error is a
+// *fault.Error.
 func (c *Client) Get(path string, query url.Values, v any) error {
 	u := "http://" + c.Admin + path
 	if len(query) > 0 {
@@ -39,10 +41,11 @@
 	if err != nil {
 		return fault.Wrap(fault.PeerLost, err, "the node at "+c.Admin+" does not answer")
 	}
-	return read(resp, v)
+	return decodeResponse(resp, v)
 }
 
-// Post sends body and reads the answer into v.
+// Post sends body as JSON and decodes the response into v. The error is a
+// *fault.Error.
 func (c *Client) Post(path string, body, v any) error {
 	b, err := json.Marshal(body)
 	if err != nil {
@@ -52,20 +55,21 @@
 	if err != nil {
 		return fault.Wrap(fault.PeerLost, err, "the node at "+c.Admin+" does not answer").Unknown()
 	}
-	return read(resp, v)
+	return decodeResponse(resp, v)
 }
 
-// read decodes an answer, or the typed failure in it.
-func read(resp *http.Response, v any) error {
+// decodeResponse decodes the response into v, or returns the error that it
+// describes.
+func decodeResponse(resp *http.Response, v any) error {
 	defer func() { _ = resp.Body.Close() }()
 	b, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return fault.Wrap(fault.PeerLost, err, "the answer broke off").Unknown()
+		return fault.Wrap(fault.PeerLost, err, "incomplete response").Unknown()
 	}
 	if resp.Header.Get("Content-Type") == "application/problem+json" {
 		var p node.Problem
 		if err := json.Unmarshal(b, &p); err != nil {
-			return fault.Wrap(fault.Protocol, err, "malformed refusal")
+			return fault.Wrap(fault.Protocol, err, "malformed error response")
 		}
 		code, _ := fault.ParseCode(p.Reason)
 		e := fault.New(code, p.Detail)
@@ -75,32 +79,33 @@
 		return e
 	}
 	if err := json.Unmarshal(b, v); err != nil {
-		return fault.Wrap(fault.Protocol, err, "malformed answer")
+		return fault.Wrap(fault.Protocol, err, "malformed response")
 	}
 	return nil
 }
 
-// Answered is what one node of many said.
-type Answered[T any] struct {
+// NodeResult is the result of a query to one node. Node is its admin address.
+type NodeResult[T any] struct {
 	Node  string
 	Value T
 	Err   error
 }
 
-// askAtOnce bounds the nodes asked at the same time.
-const askAtOnce = 32
+// maxConcurrentQueries is the largest number of nodes queried at the same time.
+const maxConcurrentQueries = 32
 
-// AskAll asks the nodes at the given admin addresses, several at a time.
-func QueryAll[T any](admins []string, path string, query url.Values) []Answered[T] {
-	out := make([]Answered[T], len(admins))
+// QueryAll sends a GET request to each admin address, several at a time, and
+// returns the results in the order of the addresses.
+func QueryAll[T any](admins []string, path string, query url.Values) []NodeResult[T] {
+	out := make([]NodeResult[T], len(admins))
 	var wg sync.WaitGroup
-	room := make(chan struct{}, askAtOnce)
+	slots := make(chan struct{}, maxConcurrentQueries)
 	for i, a := range admins {
 		wg.Add(1)
-		room <- struct{}{}
+		slots <- struct{}{}
 		go func() {
 			defer wg.Done()
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			out[i].Node = a
 			out[i].Err = NewClient(a).Get(path, query, &out[i].Value)
 		}()
--- a/internal/ctl/config.go
+++ b/internal/ctl/config.go
@@ -18,14 +18,14 @@
 	"github.com/umberthread/umberthread/settings"
 )
 
-// Out prints results, as text or as JSON.
+// Output prints results to W, as text or as JSON.
 type Output struct {
 	W    io.Writer
 	JSON bool
 }
 
-// Document reads the settings, those in force on the node or, if current, those
-// that a quorum confirms.
+// Settings returns the node's active settings or, if current is set, those that a
+// quorum confirms.
 func (c *Client) Settings(current bool) (*node.ConfigDocument, error) {
 	q := url.Values{}
 	if current {
@@ -35,7 +35,7 @@
 	return &d, c.Get("/v1/config", q, &d)
 }
 
-// ConfigGet prints the settings below a scope.
+// ConfigGet prints the settings at and below a scope; an empty scope means all.
 func ConfigGet(o Output, c *Client, scope string, current bool) error {
 	d, err := c.Settings(current)
 	if err != nil {
@@ -68,24 +68,25 @@
 	return ids
 }
 
-// Change describes a change to make.
+// SettingsChange describes a change of the settings.
 type SettingsChange struct {
-	// Files are TOML documents that replace the fleets and the default that
-	// they describe.
+	// Files are paths of TOML documents. Each replaces the fleets that it
+	// describes, and the default if it does.
 	Files []string
-	// Set are scope#key=value; Unset are scope#key.
+	// Set lists scope#key=value, Unset lists scope#key.
 	Set, Unset []string
-	// Base is the version to change; 0 means the current one.
+	// Base is the version that the change applies to; 0 means the current one.
 	Base uint64
-	// ID is the change id; a resend gives the same one.
+	// ID identifies the change, to repeat it safely; a new one is made if it is
+	// empty.
 	ID string
-	// Note is for the history.
+	// Note is recorded in the history.
 	Note string
-	// DryRun only shows the change.
+	// DryRun prints the change without making it.
 	DryRun bool
 }
 
-// ConfigSet makes a change, or shows it.
+// ConfigSet makes a change of the settings, or prints it if DryRun is set.
 func ConfigSet(o Output, c *Client, ch SettingsChange) error {
 	d, err := c.Settings(ch.Base == 0)
 	if err != nil {
@@ -103,7 +104,7 @@
 	if ch.DryRun {
 		return printPatch(o, d.Entries, patch)
 	}
-	req := node.ChangeRequest{ID: ch.ID, Base: ch.Base, Set: patch.Set, Remove: patch.Remove, Note: ch.Note, Author: author()}
+	req := node.ChangeRequest{ID: ch.ID, Base: ch.Base, Set: patch.Set, Remove: patch.Remove, Note: ch.Note, Author: currentUser()}
 	if req.Base == 0 {
 		req.Base = d.Version
 	}
@@ -125,7 +126,7 @@
 	return nil
 }
 
-func author() string {
+func currentUser() string {
 	u, err := user.Current()
 	if err != nil {
 		return ""
@@ -133,6 +134,7 @@
 	return u.Username
 }
 
+// apply returns the settings after the change.
 func (ch *SettingsChange) apply(from *settings.Tree) (*settings.Tree, error) {
 	entries := from.Entries()
 	for _, f := range ch.Files {
@@ -144,12 +146,12 @@
 		if err != nil {
 			return nil, fault.Wrap(fault.InvalidSetting, err, f)
 		}
-		overlay(entries, doc.Entries())
+		replaceFleets(entries, doc.Entries())
 	}
 	for _, s := range ch.Set {
 		id, v, ok := strings.Cut(s, "=")
 		if !ok {
-			return nil, fault.Newf(fault.BadRequest, "%q; allowed is scope#key=value", s)
+			return nil, fault.Newf(fault.BadRequest, "invalid setting %q, expected scope#key=value", s)
 		}
 		entries[strings.TrimSpace(id)] = strings.TrimSpace(v)
 	}
@@ -159,14 +161,15 @@
 	return settings.NewTree(entries)
 }
 
-// overlay replaces each fleet, and the default, that doc describes.
-func overlay(entries, doc settings.Entries) {
+// replaceFleets replaces all entries of the fleets that doc describes, and of the
+// default if it does.
+func replaceFleets(entries, doc settings.Entries) {
 	described := map[string]bool{}
 	for id := range doc {
-		described[top(id)] = true
+		described[fleetOf(id)] = true
 	}
 	for id := range entries {
-		if described[top(id)] {
+		if described[fleetOf(id)] {
 			delete(entries, id)
 		}
 	}
@@ -175,12 +178,14 @@
 	}
 }
 
-func top(id string) string {
+// fleetOf returns the fleet of a setting's id, "" for the default.
+func fleetOf(id string) string {
 	scope, _, _ := strings.Cut(id, "#")
 	fleet, _, _ := strings.Cut(scope, "/")
 	return fleet
 }
 
+// printPatch prints the old and new values of a change.
 func printPatch(o Output, before settings.Entries, p settings.Patch) error {
 	if o.JSON {
 		return o.json(p)
@@ -197,7 +202,8 @@
 	return nil
 }
 
-// ConfigExplain prints each effective value of a scope and where it is from.
+// ConfigExplain prints the effective settings of a scope and the scope that sets
+// each of them.
 func ConfigExplain(o Output, c *Client, scope string) error {
 	var ex []settings.Explained
 	if err := c.Get("/v1/config/explain", url.Values{"scope": {scope}}, &ex); err != nil {
@@ -213,7 +219,7 @@
 	return t.flush()
 }
 
-// ConfigHistory prints the last changes.
+// ConfigHistory prints the recent changes of the settings.
 func ConfigHistory(o Output, c *Client) error {
 	var cs []confstore.Change
 	if err := c.Get("/v1/config/history", nil, &cs); err != nil {
@@ -230,15 +236,15 @@
 	return t.flush()
 }
 
-// waitLook is the time between two looks of ConfigWait.
-const waitLook = 50 * time.Millisecond
+// versionPollInterval is the interval at which ConfigWait queries the nodes.
+const versionPollInterval = 50 * time.Millisecond
 
-// ConfigWait waits until all nodes that can be found have a version, and names
-// those that do not.
+// ConfigWait waits until all known nodes have at least the given version. After
+// the timeout it returns an error that names the nodes without it.
 func ConfigWait(o Output, admins []string, version uint64, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	for {
-		have, behind, err := versions(admins, version)
+		have, behind, err := countVersions(admins, version)
 		if err != nil {
 			return err
 		}
@@ -252,12 +258,14 @@
 		if time.Now().After(deadline) {
 			return fault.Newf(fault.Deadline, "%d nodes have version %d, these have not: %s", have, version, strings.Join(behind, ", "))
 		}
-		time.Sleep(waitLook)
+		time.Sleep(versionPollInterval)
 	}
 }
 
-func versions(admins []string, version uint64) (have int, behind []string, err error) {
-	all, err := Fleet(admins)
+// countVersions returns the number of nodes with at least the given version, and
+// the nodes without it.
+func countVersions(admins []string, version uint64) (have int, behind []string, err error) {
+	all, err := DiscoverAdmins(admins)
 	if err != nil {
 		return 0, nil, err
 	}
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -14,8 +14,8 @@
 	"github.com/umberthread/umberthread/settings"
 )
 
-// TestSettingsPageIsCurrent checks that docs/SETTINGS.md is what the program
-// prints.
+// TestSettingsPageIsCurrent checks that docs/SETTINGS.md matches the printed
+// reference.
 func TestSettingsPageIsCurrent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var b bytes.Buffer
@@ -28,13 +28,13 @@
 func TestFilesReplaceOnlyTheFleetsTheyDescribe(t *testing.T) {
 	g := gomega.NewWithT(t)
 	entries := settings.Entries{"#deadline": "1s", "suva#deadline": "2s", "suva/a#deadline": "3s", "kigali#deadline": "4s"}
-	overlay(entries, settings.Entries{"suva#class": "normal"})
+	replaceFleets(entries, settings.Entries{"suva#class": "normal"})
 	g.Expect(entries).To(gomega.Equal(settings.Entries{"#deadline": "1s", "suva#class": "normal", "kigali#deadline": "4s"}))
 }
 
 func TestBurnPage(t *testing.T) {
 	g := gomega.NewWithT(t)
-	kinds := map[string]*ReportKind{}
+	kinds := map[string]*KindBurn{}
 	k := &node.BurnKind{Class: "protected", Objective: 0.99}
 	k.Root = "suva/cover-desk/check"
 	for i := range k.Counts {
@@ -44,11 +44,11 @@
 	k.Sheds = map[string]int64{"overload": 40}
 	addKind(kinds, k)
 	addKind(kinds, k)
-	r := &Report{At: time.Unix(0, 0), Refusals: map[string]int64{"overload": 80}, Unknown: []string{"suva-c"}}
-	r.finish(kinds, nil)
+	r := &BurnReport{At: time.Unix(0, 0), Refusals: map[string]int64{"overload": 80}, Unknown: []string{"suva-c"}}
+	r.computeRates(kinds, nil)
 	g.Expect(r.Kinds[0].Counts[0]).To(gomega.Equal(burn.Count{Good: 120, Total: 200}))
 	g.Expect(r.Kinds[0].Alert).To(gomega.Equal("fast"))
-	page, err := Page(r)
+	page, err := RenderPage(r)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	text := string(page)
 	g.Expect(text).To(gomega.ContainSubstring("suva-c"))
@@ -57,14 +57,14 @@
 	g.Expect(text).NotTo(gomega.ContainSubstring("src="))
 }
 
-func TestQuarantinedMarksAreJoinedOverNodes(t *testing.T) {
+func TestQuarantinedFingerprintsAreMergedOverNodes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	got := mergeQuarantined([][]node.QuarantineStatus{
 		{{Mark: "a", Ends: 3, LeftMs: 900}, {Mark: "b", Ends: 5, LeftMs: 70}},
 		{{Mark: "a", Request: "f/s/k/x", Ends: 4, LeftMs: 800}},
 		nil,
 	})
-	g.Expect(got).To(gomega.Equal([]Quarantined{
+	g.Expect(got).To(gomega.Equal([]QuarantinedFingerprint{
 		{Mark: "b", Nodes: 1, Ends: 5, NextMs: 70},
 		{Mark: "a", Request: "f/s/k/x", Nodes: 2, Ends: 4, NextMs: 800},
 	}))
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -12,37 +12,38 @@
 	"github.com/umberthread/umberthread/fault"
 )
 
-// logLine is a line of a process's log.
+// logLine is a parsed line of a log.
 type logLine struct {
-	ts, text string
-	fields   map[string]string
+	timestamp, rendered string
+	fields              map[string]string
 }
 
-// Explain writes, in order of time, the lines that tell of a request: those
-// with its id, and those of the calls that were made for it. The logs of
-// several processes may be given, as files or, for "-", as standard input.
+// PrintRequestLog writes the log lines of a request and of the calls made for it,
+// ordered by time. The files are logs of one or more processes; "-" means standard
+// input.
 func PrintRequestLog(out io.Writer, id string, files []string) error {
 	var lines []logLine
 	for _, name := range files {
-		found, err := linesOf(id, name)
+		found, err := readMatchingLines(id, name)
 		if err != nil {
 			return err
 		}
 		lines = append(lines, found...)
 	}
 	if len(lines) == 0 {
-		return fault.Newf(fault.NotFound, "no line tells of request %s; of requests that went well a sample is logged, and of others at most 60 a second and node", id)
+		return fault.Newf(fault.NotFound, "no log line for request %s; successful requests are sampled, and others are logged at most 60 times a second by each node", id)
 	}
-	sort.SliceStable(lines, func(i, j int) bool { return lines[i].ts < lines[j].ts })
+	sort.SliceStable(lines, func(i, j int) bool { return lines[i].timestamp < lines[j].timestamp })
 	for _, l := range lines {
-		if _, err := fmt.Fprintln(out, l.text); err != nil {
+		if _, err := fmt.Fprintln(out, l.rendered); err != nil {
 			return fault.Wrap(fault.Internal, err, "cannot write")
 		}
 	}
 	return nil
 }
 
-func linesOf(id, name string) ([]logLine, error) {
+// readMatchingLines returns the lines of a log file that concern the request.
+func readMatchingLines(id, name string) ([]logLine, error) {
 	in := io.Reader(os.Stdin)
 	if name != "-" {
 		f, err := os.Open(name)
@@ -62,11 +63,11 @@
 			order = append(order, key)
 			l.fields[key] = string(dec.Value())
 		}
-		if !l.tellsOf(id) {
+		if !l.concerns(id) {
 			continue
 		}
-		l.ts = l.fields["ts"]
-		l.text = l.render(order)
+		l.timestamp = l.fields["ts"]
+		l.rendered = l.render(order)
 		out = append(out, l)
 	}
 	if err := dec.Err(); err != nil {
@@ -75,16 +76,17 @@
 	return out, nil
 }
 
-// tellsOf tells whether the line is about the request or a call made for it. A
-// call's id may extend its parent's by a dot.
-func (l *logLine) tellsOf(id string) bool {
+// concerns reports whether the line is about the request or a call made for it. A
+// call's id may be its parent's followed by a dot and a suffix.
+func (l *logLine) concerns(id string) bool {
 	return l.fields["id"] == id || l.fields["parent"] == id || strings.HasPrefix(l.fields["id"], id+".")
 }
 
-// render is the line as a person reads it.
+// render formats the line for people: time, part and message, then the other
+// non-empty fields in their order.
 func (l *logLine) render(order []string) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s %-8s %s", l.ts, l.fields["part"], l.fields["msg"])
+	fmt.Fprintf(&b, "%s %-8s %s", l.timestamp, l.fields["part"], l.fields["msg"])
 	for _, key := range order {
 		switch key {
 		case "ts", "part", "msg", "level":
--- a/internal/ctl/explain_test.go
+++ b/internal/ctl/explain_test.go
@@ -11,9 +11,9 @@
 	"github.com/umberthread/umberthread/fault"
 )
 
-// TestExplainTellsARequestInOrder: the logs of two processes, out of order, and
-// lines of other requests between.
-func TestExplainTellsARequestInOrder(t *testing.T) {
+// TestRequestLogIsOrderedByTime merges the logs of two processes that also contain
+// a line of another request.
+func TestRequestLogIsOrderedByTime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	dir := t.TempDir()
 	write := func(name, text string) string {
--- a/internal/ctl/page.go
+++ b/internal/ctl/page.go
@@ -21,24 +21,25 @@
 )
 
 //go:embed page.html
-var pageText string
+var pageSource string
 
 var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{
 	"percent":  func(f float64) float64 { return 100 * f },
-	"counts":   countsText,
-	"rate":     rateText,
+	"counts":   formatCounts,
+	"rate":     formatRate,
 	"join":     strings.Join,
 	"when":     func(t time.Time) string { return t.UTC().Format("2006-01-02 15:04:05 UTC") },
-	"overload": func(o ReportOverload) string { return o.text() },
-}).Parse(pageText))
+	"overload": func(o OverloadPeriod) string { return o.format() },
+}).Parse(pageSource))
 
-// pageData is what the page shows.
+// pageData is the input of the page's template.
 type pageData struct {
-	*Report
+	*BurnReport
 	Windows []burn.Window
 	Plots   []pagePlot
 }
 
+// pagePlot is a plot with its heading.
 type pagePlot struct {
 	Title string
 	SVG   template.HTML
@@ -49,10 +50,10 @@
 	plotHeight = 9 * vg.Centimeter
 )
 
-// Page returns the report as one HTML page without anything from outside.
-func Page(r *Report) ([]byte, error) {
-	d := pageData{Report: r, Windows: burn.Windows[:]}
-	for _, f := range []func(*Report) (*pagePlot, error){servedPlot, burnPlot, refusalPlot} {
+// RenderPage returns the report as a self-contained HTML page.
+func RenderPage(r *BurnReport) ([]byte, error) {
+	d := pageData{BurnReport: r, Windows: burn.Windows[:]}
+	for _, f := range []func(*BurnReport) (*pagePlot, error){plotServed, plotBurnRates, plotRefusals} {
 		p, err := f(r)
 		if err != nil {
 			return nil, err
@@ -63,14 +64,14 @@
 	}
 	var b bytes.Buffer
 	if err := pageTemplate.Execute(&b, d); err != nil {
-		return nil, fault.Wrap(fault.Internal, err, "cannot make the page")
+		return nil, fault.Wrap(fault.Internal, err, "cannot render the page")
 	}
 	return b.Bytes(), nil
 }
 
-// servedPlot draws the share served by kind over the last five minutes, which
-// shows an overload and the recovery from it.
-func servedPlot(r *Report) (*pagePlot, error) {
+// plotServed plots the share of requests served within the objective over the last
+// five minutes, by kind. It returns nil if there are no requests.
+func plotServed(r *BurnReport) (*pagePlot, error) {
 	p := plot.New()
 	p.X.Label.Text = "minutes ago"
 	p.Y.Label.Text = "served well, %"
@@ -92,7 +93,7 @@
 		}
 		line, err := plotter.NewLine(pts)
 		if err != nil {
-			return nil, fault.Wrap(fault.Internal, err, "cannot draw")
+			return nil, fault.Wrap(fault.Internal, err, "cannot draw the plot")
 		}
 		line.Color = plotutil.Color(i)
 		line.Dashes = plotutil.Dashes(i / len(plotutil.DefaultColors))
@@ -105,11 +106,11 @@
 		return nil, nil
 	}
 	p.Add(plotter.NewGrid())
-	return svg("Served within the objective, last five minutes", p)
+	return renderSVG("Served within the objective, last five minutes", p)
 }
 
-// burnPlot draws the burn rates of the last five minutes and hour by kind.
-func burnPlot(r *Report) (*pagePlot, error) {
+// plotBurnRates plots the burn rates of the last five minutes and hour, by kind.
+func plotBurnRates(r *BurnReport) (*pagePlot, error) {
 	if len(r.Kinds) == 0 {
 		return nil, nil
 	}
@@ -126,7 +127,7 @@
 		}
 		bars, err := plotter.NewBarChart(values, vg.Points(width))
 		if err != nil {
-			return nil, fault.Wrap(fault.Internal, err, "cannot draw")
+			return nil, fault.Wrap(fault.Internal, err, "cannot draw the plot")
 		}
 		bars.Color = plotutil.Color(i)
 		bars.LineStyle.Width = 0
@@ -137,21 +138,21 @@
 	p.Legend.Left = true
 	p.Legend.Padding = vg.Points(2)
 	p.NominalX(names...)
-	widen(p, len(names))
+	addMargins(p, len(names))
 	p.X.Tick.Label.Rotation = 0.5
 	p.X.Tick.Label.XAlign = draw.XRight
 	p.X.Tick.Label.YAlign = draw.YCenter
-	return svg("Burn by kind", p)
+	return renderSVG("Burn by kind", p)
 }
 
-// widen leaves room beside the outer bars, and above them for the legend.
-func widen(p *plot.Plot, bars int) {
+// addMargins leaves space beside the outer bars, and above the bars for the legend.
+func addMargins(p *plot.Plot, bars int) {
 	p.X.Min, p.X.Max = -0.5, float64(bars)-0.5
 	p.Y.Max *= 1.25
 }
 
-// refusalPlot draws the refusals by reason.
-func refusalPlot(r *Report) (*pagePlot, error) {
+// plotRefusals plots the refusals since start, by reason.
+func plotRefusals(r *BurnReport) (*pagePlot, error) {
 	if len(r.Refusals) == 0 {
 		return nil, nil
 	}
@@ -168,23 +169,23 @@
 	p.Y.Label.Text = "refusals since start"
 	bars, err := plotter.NewBarChart(values, vg.Points(24))
 	if err != nil {
-		return nil, fault.Wrap(fault.Internal, err, "cannot draw")
+		return nil, fault.Wrap(fault.Internal, err, "cannot draw the plot")
 	}
 	bars.Color = color.RGBA{R: 0xb0, G: 0x60, B: 0x30, A: 0xff}
 	bars.LineStyle.Width = 0
 	p.Add(bars)
 	p.NominalX(names...)
-	widen(p, len(names))
-	return svg("Refusals by reason", p)
+	addMargins(p, len(names))
+	return renderSVG("Refusals by reason", p)
 }
 
-// svg renders a plot as an element to embed in a page.
-func svg(title string, p *plot.Plot) (*pagePlot, error) {
+// renderSVG renders a plot as an SVG element to embed in a page.
+func renderSVG(title string, p *plot.Plot) (*pagePlot, error) {
 	c := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(c))
 	var b bytes.Buffer
 	if _, err := c.WriteTo(&b); err != nil {
-		return nil, fault.Wrap(fault.Internal, err, "cannot draw")
+		return nil, fault.Wrap(fault.Internal, err, "cannot draw the plot")
 	}
 	text := b.String()
 	if i := strings.Index(text, "<svg"); i > 0 {
--- a/internal/ctl/quarantine.go
+++ b/internal/ctl/quarantine.go
@@ -8,22 +8,25 @@
 	"github.com/umberthread/umberthread/internal/node"
 )
 
-// Quarantined is a mark whose requests nodes refuse, over all nodes that answered.
-type Quarantined struct {
+// QuarantinedFingerprint is a fingerprint whose requests are refused, summarized
+// over all nodes that responded.
+type QuarantinedFingerprint struct {
 	Mark string `json:"mark"`
-	// Request is one such request, "" if no node can name one.
+	// Request is an example of such a request, "" if no node knows one.
 	Request string `json:"request,omitempty"`
-	// Nodes is how many nodes refuse it, and Ends the most backend servers of whose
-	// end one has heard.
+	// Nodes is the number of nodes that refuse the requests, and Ends the largest
+	// number of backend server terminations that one of them has recorded.
 	Nodes int `json:"nodes"`
 	Ends  int `json:"ends"`
-	// NextMs is when the first of the nodes lets one through, in milliseconds.
+	// NextMs is the time until the first of the nodes admits such a request, in
+	// milliseconds.
 	NextMs int64 `json:"next_ms"`
 }
 
-// Quarantine prints which requests are refused as they end backend servers.
+// PrintQuarantine prints the requests that are refused because they terminate
+// backend servers.
 func PrintQuarantine(o Output, admins []string) error {
-	all, err := Fleet(admins)
+	all, err := DiscoverAdmins(admins)
 	if err != nil {
 		return err
 	}
@@ -37,19 +40,19 @@
 	}
 	t := o.table("MARK", "REQUEST", "NODES", "ENDS", "NEXT TRY")
 	for _, m := range marks {
-		t.row(m.Mark, dash(m.Request), m.Nodes, m.Ends, (time.Duration(m.NextMs) * time.Millisecond).Round(time.Second))
+		t.row(m.Mark, orDash(m.Request), m.Nodes, m.Ends, (time.Duration(m.NextMs) * time.Millisecond).Round(time.Second))
 	}
 	return t.flush()
 }
 
-// mergeQuarantined joins what nodes tell, the mark with most ends first.
-func mergeQuarantined(lists [][]node.QuarantineStatus) []Quarantined {
-	byMark := map[string]*Quarantined{}
+// mergeQuarantined merges the nodes' lists, ordered by decreasing terminations.
+func mergeQuarantined(lists [][]node.QuarantineStatus) []QuarantinedFingerprint {
+	byMark := map[string]*QuarantinedFingerprint{}
 	for _, list := range lists {
 		for _, s := range list {
 			m := byMark[s.Mark]
 			if m == nil {
-				m = &Quarantined{Mark: s.Mark, NextMs: s.LeftMs}
+				m = &QuarantinedFingerprint{Mark: s.Mark, NextMs: s.LeftMs}
 				byMark[s.Mark] = m
 			}
 			m.Nodes++
@@ -58,11 +61,11 @@
 			m.NextMs = min(m.NextMs, s.LeftMs)
 		}
 	}
-	out := make([]Quarantined, 0, len(byMark))
+	out := make([]QuarantinedFingerprint, 0, len(byMark))
 	for _, m := range byMark {
 		out = append(out, *m)
 	}
-	slices.SortFunc(out, func(a, b Quarantined) int {
+	slices.SortFunc(out, func(a, b QuarantinedFingerprint) int {
 		return cmp.Or(cmp.Compare(b.Ends, a.Ends), cmp.Compare(a.Mark, b.Mark))
 	})
 	return out
--- a/internal/ctl/reference.go
+++ b/internal/ctl/reference.go
@@ -6,11 +6,12 @@
 	"github.com/umberthread/umberthread/settings"
 )
 
+// levelNames holds the printed names of the levels of the settings tree.
 var levelNames = map[settings.Depth]string{
 	settings.AtDefault: "default", settings.AtFleet: "fleet", settings.AtService: "service", settings.AtKind: "kind",
 }
 
-const referenceHead = `# Settings of the operators' tree
+const settingsPageHead = `# Settings of the operators' tree
 
 This page is printed by ` + "`umberctl settings`" + ` from the table that the program
 checks settings with. A key may stand at the default, at a fleet, a service or a
@@ -21,12 +22,13 @@
 | --- | --- | --- | --- | --- |
 `
 
-// SettingsReference prints the reference page.
+// PrintSettingsReference prints the reference of all settings as Markdown, or
+// their definitions as JSON.
 func PrintSettingsReference(o Output) error {
 	if o.JSON {
 		return o.json(settings.Keys())
 	}
-	o.printf("%s", referenceHead)
+	o.printf("%s", settingsPageHead)
 	for _, k := range settings.Keys() {
 		def := "`" + k.Default + "`"
 		if k.Default == "" {
--- a/internal/ctl/replicas.go
+++ b/internal/ctl/replicas.go
@@ -8,28 +8,29 @@
 	"github.com/umberthread/umberthread/internal/node"
 )
 
-// replicaGroup is a group as its leader sees it.
-type replicaGroup struct {
-	// Node is the name of the leader's node.
+// leaderGroupStatus is the status of a replica group as reported by its leader.
+type leaderGroupStatus struct {
+	// Node is the name of the node that runs the leader.
 	Node string `json:"node"`
 	node.GroupStatus
 }
 
-// Replicas prints the replica groups as their leaders see them: the members,
-// whether one more loss is borne, and how long it was not the last time.
+// PrintReplicas prints the replica groups as reported by their leaders: the
+// members, whether the group tolerates one more failure, and the duration of the
+// last repair.
 func PrintReplicas(o Output, admins []string) error {
-	all, err := Fleet(admins)
+	all, err := DiscoverAdmins(admins)
 	if err != nil {
 		return err
 	}
-	groups := []replicaGroup{}
+	groups := []leaderGroupStatus{}
 	for _, a := range QueryAll[node.Status](all, "/v1/status", nil) {
 		if a.Err != nil || a.Value.Replica == nil {
 			continue
 		}
 		for _, g := range a.Value.Replica.Groups {
 			if g.Leads {
-				groups = append(groups, replicaGroup{a.Value.Name, g})
+				groups = append(groups, leaderGroupStatus{a.Value.Name, g})
 			}
 		}
 	}
@@ -39,12 +40,12 @@
 	}
 	t := o.table("GROUP", "LEADER", "VOTERS", "LEARNERS", "BEARS A LOSS", "LAST REPAIR")
 	for _, g := range groups {
-		t.row(g.Group, g.Node, len(g.Voters), len(g.Learners), g.ToleratesFailure, repairTime(g.RepairMs))
+		t.row(g.Group, g.Node, len(g.Voters), len(g.Learners), g.ToleratesFailure, formatRepairTime(g.RepairMs))
 	}
 	return t.flush()
 }
 
-func repairTime(ms int64) string {
+func formatRepairTime(ms int64) string {
 	if ms == 0 {
 		return "-"
 	}
--- a/internal/ctl/show.go
+++ b/internal/ctl/show.go
@@ -15,6 +15,7 @@
 
 func (o Output) printf(format string, args ...any) { _, _ = fmt.Fprintf(o.W, format, args...) }
 
+// json prints v as indented JSON.
 func (o Output) json(v any) error {
 	enc := json.NewEncoder(o.W)
 	enc.SetIndent("", "  ")
@@ -24,6 +25,7 @@
 	return nil
 }
 
+// table prints aligned columns; flush writes it out.
 type table struct{ w *tabwriter.Writer }
 
 func (o Output) table(head ...any) *table {
@@ -49,9 +51,10 @@
 	return nil
 }
 
-// Fleet returns the admin addresses of all members of the failure domains of
-// the given nodes. It fails only if none of them answers.
-func Fleet(admins []string) ([]string, error) {
+// DiscoverAdmins returns the sorted admin addresses of all members of the given
+// nodes' failure domains that are neither dead nor leaving, and of given nodes that
+// do not respond. It fails only if none of the given nodes responds.
+func DiscoverAdmins(admins []string) ([]string, error) {
 	seen := map[string]bool{}
 	var last error
 	answered := false
@@ -79,9 +82,9 @@
 	return out, nil
 }
 
-// StatusOf prints the state of the nodes.
+// PrintStatus prints the status of all nodes.
 func PrintStatus(o Output, admins []string) error {
-	all, err := Fleet(admins)
+	all, err := DiscoverAdmins(admins)
 	if err != nil {
 		return err
 	}
@@ -111,28 +114,30 @@
 			continue
 		}
 		v := s.Value
-		t.row(v.Name, v.Domain, v.Config, dash(v.Backend.Service), stateText(&v), v.Backend.Limit, v.Backend.InFlight,
-			v.Backend.Level, v.Served, total(v.Refusals), v.Retries, replicaText(v.Replica), cutText(v.Domains))
+		t.row(v.Name, v.Domain, v.Config, orDash(v.Backend.Service), formatState(&v), v.Backend.Limit, v.Backend.InFlight,
+			v.Backend.Level, v.Served, sumCounts(v.Refusals), v.Retries, formatReplica(v.Replica), formatUnreachableDomains(v.Domains))
 	}
 	return t.flush()
 }
 
-// stateText is the backend server's state, or why its node keeps work away.
-func stateText(s *node.Status) string {
+// formatState returns the backend server's state, followed by the node's state if
+// that is not "serving".
+func formatState(s *node.Status) string {
 	if s.State != "serving" {
 		return s.Backend.State + ", " + s.State
 	}
 	return s.Backend.State
 }
 
-func dash(s string) string {
+// orDash returns s, or "-" if it is empty.
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
 	return s
 }
 
-func total(m map[string]int64) int64 {
+func sumCounts(m map[string]int64) int64 {
 	var n int64
 	for _, v := range m {
 		n += v
@@ -140,7 +145,8 @@
 	return n
 }
 
-func replicaText(r *node.ReplicaStatus) string {
+// formatReplica returns the short id of the replica and the groups that it leads.
+func formatReplica(r *node.ReplicaStatus) string {
 	if r == nil {
 		return "-"
 	}
@@ -156,7 +162,8 @@
 	return r.ID[:6] + " leads " + strings.Join(leads, ",")
 }
 
-func cutText(domains map[string]bool) string {
+// formatUnreachableDomains lists the failure domains that are marked unreachable.
+func formatUnreachableDomains(domains map[string]bool) string {
 	var cut []string
 	for d, ok := range domains {
 		if !ok {
@@ -164,10 +171,11 @@
 		}
 	}
 	sort.Strings(cut)
-	return dash(strings.Join(cut, ","))
+	return orDash(strings.Join(cut, ","))
 }
 
-// Members prints the members of the nodes' failure domains.
+// PrintMembers prints the members of the given nodes' failure domains. It fails if
+// one of the nodes does not respond.
 func PrintMembers(o Output, admins []string) error {
 	seen := map[string]node.MemberStatus{}
 	for _, a := range QueryAll[[]node.MemberStatus](admins, "/v1/members", nil) {
@@ -188,14 +196,15 @@
 	}
 	t := o.table("NAME", "ID", "DOMAIN", "STATUS", "SERVICE", "BACKEND", "HTTP", "ADMIN", "REPLICA")
 	for _, m := range out {
-		t.row(m.Name, m.ID, m.Domain, m.Status, dash(m.Service), m.State, m.HTTP, m.Admin, dash(m.Replica))
+		t.row(m.Name, m.ID, m.Domain, m.Status, orDash(m.Service), m.State, m.HTTP, m.Admin, orDash(m.Replica))
 	}
 	return t.flush()
 }
 
-// Requests prints what became of requests and why.
+// PrintRequests prints the recorded requests and their outcomes, ordered by time.
+// If id or reason is not empty, only matching requests are printed.
 func PrintRequests(o Output, admins []string, id, reason string) error {
-	all, err := Fleet(admins)
+	all, err := DiscoverAdmins(admins)
 	if err != nil {
 		return err
 	}
@@ -222,9 +231,9 @@
 	return t.flush()
 }
 
-// Events prints the decisions of note, in the order of time across the nodes.
+// PrintEvents prints the recorded events of all nodes, ordered by time.
 func PrintEvents(o Output, admins []string) error {
-	all, err := Fleet(admins)
+	all, err := DiscoverAdmins(admins)
 	if err != nil {
 		return err
 	}
@@ -243,7 +252,8 @@
 	return t.flush()
 }
 
-// Drain keeps new work away from a node's backend server, or lets it back.
+// SetDrained stops or, if on is false, resumes sending requests to a node's backend
+// server.
 func SetDrained(o Output, c *Client, on bool) error {
 	var s node.Status
 	if err := c.Post(fmt.Sprintf("/v1/drain?on=%v", on), nil, &s); err != nil {
@@ -254,13 +264,14 @@
 	}
 	state := "drained"
 	if !on {
-		state = "back at work"
+		state = "no longer drained"
 	}
 	o.printf("%s is %s, %d requests in flight\n", s.Name, state, s.Backend.InFlight)
 	return nil
 }
 
-// Form makes the replica of a node the first of the groups.
+// FormGroups creates the replica groups with the node's replica as their first
+// member.
 func FormGroups(o Output, c *Client) error {
 	var s node.ReplicaStatus
 	if err := c.Post("/v1/replicas/form", nil, &s); err != nil {
