--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -108,6 +108,7 @@
 	}
 }
 
+// acceptLoop accepts and relays connections until the listener is closed.
 func (r *Relay) acceptLoop() {
 	for {
 		conn, err := r.listener.Accept()
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -201,6 +201,7 @@
 
 func (p incompleteRequest) Unwrap() error { return p.error }
 
+// sendRequest writes the head and body of a request.
 func (c *Client) sendRequest(conn *clientConn, req *Request, body []byte, stream io.Reader) error {
 	buf, at := beginFrame(conn.writeBuf[:0])
 	buf = req.append(buf)
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -98,6 +98,8 @@
 	return 0
 }
 
+// append appends the encoding of r. The order and types of the fields are the wire
+// format.
 func (r *Request) append(b []byte) []byte {
 	b = binary.BigEndian.AppendUint64(b, r.Attempt)
 	b = appendString(b, r.ID)
@@ -114,6 +116,8 @@
 	return appendFields(b, r.Header)
 }
 
+// append appends the encoding of r. The order and types of the fields are the wire
+// format.
 func (r *Reply) append(b []byte) []byte {
 	b = binary.BigEndian.AppendUint64(b, r.Attempt)
 	b = append(b, byte(r.Code), byte(r.Execution), r.LeaseSpent)
@@ -135,6 +139,7 @@
 	failed bool
 }
 
+// take consumes n bytes.
 func (d *decoder) take(n uint64) string {
 	if d.failed || n > uint64(len(d.rest)) {
 		d.failed = true
@@ -220,6 +225,7 @@
 	return v * time.Microsecond
 }
 
+// err returns an error if a value was malformed or bytes are left over.
 func (d *decoder) err() error {
 	if d.failed || d.rest != "" {
 		return fault.New(fault.Protocol, "malformed message")
@@ -227,6 +233,7 @@
 	return nil
 }
 
+// decodeRequest decodes and validates the payload of a request frame into r.
 func decodeRequest(p []byte, r *Request) error {
 	d := decoder{rest: string(p)}
 	r.Attempt = d.uint64()
@@ -251,6 +258,7 @@
 	return d.err()
 }
 
+// decodeReply decodes and validates the payload of a reply frame into r.
 func decodeReply(p []byte, r *Reply) error {
 	d := decoder{rest: string(p)}
 	r.Attempt = d.uint64()
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -207,6 +207,7 @@
 // replyGrace is how long after the request's deadline a reply may be written.
 const replyGrace = time.Second
 
+// write sends a frame and postpones the next heartbeat.
 func (c *serverConn) write(buf []byte) error {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
