--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -103,7 +103,7 @@
 // state is state 0.
 func (c *Chart) index(f *chartFile) error {
 	if _, ok := f.States[f.Start]; !ok || len(f.States) > maxStates {
-		return fault.Newf(fault.InvalidSetting, "chart %s: start %q is not a state, or there are more than %d states", c.Name, f.Start, maxStates)
+		return fault.Newf(fault.InvalidSetting, "chart %s: start %q is no state, or there are more than %d states", c.Name, f.Start, maxStates)
 	}
 	c.states = []string{f.Start}
 	events := map[string]bool{}
@@ -130,7 +130,7 @@
 			}
 			to, known := c.lookupState(target)
 			if !known {
-				return fault.Newf(fault.InvalidSetting, "chart %s: %s on %s leads to %q, which is not a state", c.Name, s, e, target)
+				return fault.Newf(fault.InvalidSetting, "chart %s: %s on %s leads to %q, which is no state", c.Name, s, e, target)
 			}
 			row[i] = to
 		}
@@ -144,7 +144,7 @@
 	for _, e := range f.Ends {
 		s, ok := c.lookupState(e)
 		if !ok {
-			return fault.Newf(fault.InvalidSetting, "chart %s: end %q is not a state", c.Name, e)
+			return fault.Newf(fault.InvalidSetting, "chart %s: end %q is no state", c.Name, e)
 		}
 		c.finalStates[s] = true
 	}
@@ -162,7 +162,7 @@
 			return fault.Newf(fault.InvalidSetting, "chart %s: state %q cannot be reached", c.Name, s)
 		}
 		if !c.finalStates[State(i)] && c.isDeadEnd(State(i)) {
-			return fault.Newf(fault.InvalidSetting, "chart %s: state %q has no transition to another state and is not final", c.Name, s)
+			return fault.Newf(fault.InvalidSetting, "chart %s: state %q has no way out and is no end", c.Name, s)
 		}
 	}
 	return nil
