--- a/cmd/umberbench/model.go
+++ b/cmd/umberbench/model.go
@@ -46,7 +46,7 @@
 }
 
 // playLoad plays a fleet once for each seed.
-func playLoad(name string, f fleetmodel.Fleet, seeds int) []*fleetmodel.Result {
+func playLoad(name string, f fleetmodel.Scenario, seeds int) []*fleetmodel.Result {
 	var all []*fleetmodel.Result
 	for seed := range seeds {
 		began := time.Now()
--- a/internal/fleetmodel/fleet.go
+++ b/internal/fleetmodel/fleet.go
@@ -7,7 +7,7 @@
 )
 
 // Fleet is what is played.
-type Fleet struct {
+type Scenario struct {
 	// Domains is the number of failure domains. Servers and callers are spread
 	// evenly over them.
 	Domains int
--- a/internal/fleetmodel/loads.go
+++ b/internal/fleetmodel/loads.go
@@ -9,9 +9,9 @@
 // Wide is a fleet of some 180 servers in which three kinds of requests lead, through
 // several services, to the same scarce one, whose slots are held for long by the least
 // urgent kind.
-func Wide() Fleet {
+func Wide() Scenario {
 	speeds := []float64{0.5, 1, 1, 1.5}
-	return Fleet{
+	return Scenario{
 		Domains: 6, Within: 300 * time.Microsecond, Between: time.Millisecond, Policy: DefaultPolicy(),
 		Services: []Service{
 			{Name: "pages", Servers: 66, Slots: 96, Speeds: speeds},
@@ -54,7 +54,7 @@
 // TurnedAway is the load that a fleet meets whose callers send 1.7 times as much while
 // half of the nodes lose their power, and whose scarce service then turns half of its
 // work away.
-func TurnedAway() Fleet {
+func TurnedAway() Scenario {
 	f := Wide()
 	f.Length = 24 * time.Second
 	f.Lead = 2 * time.Second
@@ -69,7 +69,7 @@
 
 // Slowed is the load that a fleet meets while two fifths of the servers of its scarce
 // service take twelve times as long and most of another lose answers.
-func Slowed() Fleet {
+func Slowed() Scenario {
 	f := Wide()
 	f.Length = 16 * time.Second
 	f.Lead = 2 * time.Second
@@ -81,7 +81,7 @@
 }
 
 // Surged is a load of 1.7 times the usual for most of the time.
-func Surged() Fleet {
+func Surged() Scenario {
 	f := Wide()
 	f.Length = 20 * time.Second
 	f.Lead = 2 * time.Second
@@ -91,7 +91,7 @@
 
 // Hanging is a load that a fleet meets while the scarce service takes forty times as
 // long at all its servers.
-func Hanging() Fleet {
+func Hanging() Scenario {
 	f := Wide()
 	f.Length = 14 * time.Second
 	f.Lead = 2 * time.Second
@@ -100,6 +100,6 @@
 }
 
 // Loads are the fleets of this package by name.
-var Loads = map[string]func() Fleet{
+var Loads = map[string]func() Scenario{
 	"turned-away": TurnedAway, "slowed": Slowed, "surged": Surged, "hanging": Hanging,
 }
--- a/internal/fleetmodel/play.go
+++ b/internal/fleetmodel/play.go
@@ -23,7 +23,7 @@
 // play is a fleet that is played.
 type play struct {
 	clock
-	fleet  Fleet
+	fleet  Scenario
 	rng    *rand.Rand
 	kinds  map[string]*kind
 	nodes  []*node
@@ -39,7 +39,7 @@
 }
 
 // Run plays a fleet.
-func Run(f Fleet, seed uint64) *Result {
+func Run(f Scenario, seed uint64) *Result {
 	p := &play{
 		fleet: f, rng: rand.New(rand.NewPCG(seed, 1)), kinds: map[string]*kind{}, byID: map[string]*node{},
 		works: map[*work]bool{}, load: 1, res: newResult(f),
--- a/internal/fleetmodel/result.go
+++ b/internal/fleetmodel/result.go
@@ -31,7 +31,7 @@
 	Reasons map[fault.Code]int
 }
 
-func newResult(f Fleet) *Result {
+func newResult(f Scenario) *Result {
 	seconds := int(f.Length/time.Second) + 1
 	r := &Result{
 		Kinds: map[string]*KindResult{}, Calls: map[string]int{}, Nested: map[string]map[fault.Code]int{},
