--- a/cmd/umberbench/model.go
+++ b/cmd/umberbench/model.go
@@ -21,7 +21,7 @@
 // loadNames returns the loads that the model can play, in order.
 func loadNames() []string {
 	var names []string
-	for name := range fleetmodel.Loads {
+	for name := range fleetmodel.Scenarios {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -36,7 +36,7 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "load\tworth\tdeviation\tby kind")
 	for _, name := range o.loads {
-		load, ok := fleetmodel.Loads[name]
+		load, ok := fleetmodel.Scenarios[name]
 		if !ok {
 			return fault.Newf(fault.NotFound, "load %q; known are %v", name, loadNames())
 		}
--- a/internal/fleetmodel/fleet_test.go
+++ b/internal/fleetmodel/fleet_test.go
@@ -46,7 +46,7 @@
 	const seeds = 3
 	var all []*Result
 	for seed := range uint64(seeds) {
-		r := Run(Loads[name](), seed)
+		r := Run(Scenarios[name](), seed)
 		logResult(t, name, r)
 		all = append(all, r)
 	}
--- a/internal/fleetmodel/loads.go
+++ b/internal/fleetmodel/loads.go
@@ -100,6 +100,6 @@
 }
 
 // Loads are the fleets of this package by name.
-var Loads = map[string]func() Scenario{
+var Scenarios = map[string]func() Scenario{
 	"turned-away": TurnedAway, "slowed": Slowed, "surged": Surged, "hanging": Hanging,
 }
