--- a/cmd/umberbench/model.go
+++ b/cmd/umberbench/model.go
@@ -61,7 +61,7 @@
 	byKind := map[string][]float64{}
 	var kinds []string
 	for _, r := range all {
-		worths = append(worths, r.Worth())
+		worths = append(worths, r.ValueFraction())
 		for kind, k := range r.Kinds {
 			if byKind[kind] == nil {
 				kinds = append(kinds, kind)
--- a/internal/fleetmodel/fleet_test.go
+++ b/internal/fleetmodel/fleet_test.go
@@ -8,7 +8,7 @@
 
 func logResult(t *testing.T, name string, r *Result) {
 	t.Helper()
-	t.Logf("%s: worth %.3f", name, r.Worth())
+	t.Logf("%s: worth %.3f", name, r.ValueFraction())
 	for kind, k := range r.Kinds {
 		t.Logf("  %s: sent %d, in time %d, late %d, refused %d, failed %d, share %.3f, %v", kind, k.Sent, k.InTime, k.Late, k.Refused, k.Failed, k.Share(), k.Reasons)
 	}
@@ -30,7 +30,7 @@
 	}
 	a, b := Run(f, 7), Run(f, 7)
 	if !reflect.DeepEqual(a, b) {
-		t.Fatalf("two plays differ: %.4f and %.4f", a.Worth(), b.Worth())
+		t.Fatalf("two plays differ: %.4f and %.4f", a.ValueFraction(), b.ValueFraction())
 	}
 	const oneIn = 300
 	for kind, k := range a.Kinds {
@@ -84,8 +84,8 @@
 func TestSurgeIsServed(t *testing.T) {
 	const worth = 0.95
 	for seed, r := range plays(t, "surged") {
-		if r.Worth() < worth {
-			t.Errorf("seed %d: worth %.3f, at least %.3f expected", seed, r.Worth(), worth)
+		if r.ValueFraction() < worth {
+			t.Errorf("seed %d: worth %.3f, at least %.3f expected", seed, r.ValueFraction(), worth)
 		}
 	}
 }
--- a/internal/fleetmodel/result.go
+++ b/internal/fleetmodel/result.go
@@ -46,7 +46,7 @@
 }
 
 // Worth is the share of what was owed that was earned.
-func (r *Result) Worth() float64 {
+func (r *Result) ValueFraction() float64 {
 	owed, earned := 0.0, 0.0
 	for _, k := range r.Kinds {
 		owed += k.Owed
