--- a/cmd/umberbench/model.go
+++ b/cmd/umberbench/model.go
@@ -66,7 +66,7 @@
 			if byKind[kind] == nil {
 				kinds = append(kinds, kind)
 			}
-			byKind[kind] = append(byKind[kind], k.Share())
+			byKind[kind] = append(byKind[kind], k.ValueFraction())
 		}
 	}
 	slices.Sort(kinds)
--- a/internal/fleetmodel/fleet_test.go
+++ b/internal/fleetmodel/fleet_test.go
@@ -10,7 +10,7 @@
 	t.Helper()
 	t.Logf("%s: worth %.3f", name, r.ValueFraction())
 	for kind, k := range r.Kinds {
-		t.Logf("  %s: sent %d, in time %d, late %d, refused %d, failed %d, share %.3f, %v", kind, k.Sent, k.InTime, k.Late, k.Refused, k.Failed, k.Share(), k.Reasons)
+		t.Logf("  %s: sent %d, in time %d, late %d, refused %d, failed %d, share %.3f, %v", kind, k.Sent, k.InTime, k.Late, k.Refused, k.Failed, k.ValueFraction(), k.Reasons)
 	}
 	for kind, reasons := range r.Nested {
 		t.Logf("  calls of %s that failed: %v", kind, reasons)
@@ -71,10 +71,10 @@
 func TestHangingServiceTakesNobodyElsesSlots(t *testing.T) {
 	const untouched = 0.98
 	for seed, r := range plays(t, "hanging") {
-		if share := r.Kinds["upload"].Share(); share < untouched {
+		if share := r.Kinds["upload"].ValueFraction(); share < untouched {
 			t.Errorf("seed %d: %.3f of the uploads' worth, at least %.3f expected", seed, share, untouched)
 		}
-		if confirm, read := r.Kinds["confirm"].Share(), r.Kinds["read"].Share(); confirm < read {
+		if confirm, read := r.Kinds["confirm"].ValueFraction(), r.Kinds["read"].ValueFraction(); confirm < read {
 			t.Errorf("seed %d: %.3f of the worth of confirmations, %.3f of that of reads", seed, confirm, read)
 		}
 	}
@@ -94,7 +94,7 @@
 // that turns half of its work away: what is scarce goes to the most urgent first.
 func TestScarceRetriesGoToTheUrgent(t *testing.T) {
 	for seed, r := range plays(t, "turned-away") {
-		if confirm, read := r.Kinds["confirm"].Share(), r.Kinds["read"].Share(); confirm < read {
+		if confirm, read := r.Kinds["confirm"].ValueFraction(), r.Kinds["read"].ValueFraction(); confirm < read {
 			t.Errorf("seed %d: %.3f of the worth of confirmations, %.3f of that of reads", seed, confirm, read)
 		}
 	}
--- a/internal/fleetmodel/result.go
+++ b/internal/fleetmodel/result.go
@@ -56,7 +56,7 @@
 }
 
 // Share is the share of the worth of a kind that was earned.
-func (k *KindResult) Share() float64 { return k.Earned / max(k.Owed, 1) }
+func (k *KindResult) ValueFraction() float64 { return k.Earned / max(k.Owed, 1) }
 
 // LostCalls is the share of the calls of a kind that failed.
 func (r *Result) LostCalls(kind string) float64 {
