--- a/internal/fleetmodel/doc.go
+++ b/internal/fleetmodel/doc.go
@@ -1,12 +1,12 @@
-// Package fleetmodel plays a whole fleet under load in virtual time: callers, nodes
-// and backend servers, with the decisions that the daemon takes (admission, budget,
-// pathlevel, rank, retry, route) and none of its input and output.
+// Package fleetmodel is a discrete-event simulation of a fleet under load: callers,
+// nodes and backend servers. It runs the daemon's decision code (admission, budget,
+// pathlevel, rank, retry, route) without its I/O.
 //
-// A Fleet says what is played: services with their backend servers, request kinds
-// with the calls that they make, the load, and what goes wrong when. Run plays it and
-// returns what became of the requests. The same fleet and seed give the same result.
+// A Scenario describes the services with their backend servers, the request kinds with
+// their nested calls, the load and the disturbances. Run simulates it and returns the
+// outcomes of the requests. A scenario and a seed determine the result.
 //
-// What is left out: processor time, bodies, connections, membership (every node knows
-// all servers at once; one that has lost power is found out by its silence), the
-// settings, and the time that a node takes for its own work.
+// Not simulated: CPU time, bodies, connections, membership (every node knows all
+// servers; one without power is detected by its silence), settings, and the processing
+// time of the nodes.
 package fleetmodel
--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -12,283 +12,289 @@
 	"github.com/umberthread/umberthread/route"
 )
 
-// node stands beside one backend server.
+// node is the daemon beside one backend server.
 type node struct {
-	p      *play
+	sim    *simulation
 	id     string
 	domain int
-	// boot counts the starts: what an earlier one had in hand is gone.
-	boot   int
-	down   bool
-	server *server
-	guard  *admission.Limiter
-	// waiting are the works that the guard keeps.
-	waiting map[*admission.Waiter]*work
-	routes  *route.Snapshot
-	// entered and nested are the path levels of requests that enter here and of
-	// calls of the server beside the node.
-	entered, nested *pathlevel.Table
-	retries         map[string]*budget.Throttle
-	// waits counts, for each service, the calls to it that the server waits for.
-	waits map[string]*admission.Bulkhead
-	// callers are the requests that entered here, with what tells their callers that
-	// the node is gone.
-	callers map[*call]func()
+	// incarnation changes at each start and power loss; events of an earlier
+	// incarnation are ignored.
+	incarnation int
+	down        bool
+	server      *server
+	limiter     *admission.Limiter
+	// queued holds the executions in the limiter's queue.
+	queued map[*admission.Waiter]*execution
+	routes *route.Snapshot
+	// ingressLevels and nestedLevels are the path levels of requests that enter at
+	// this node and of calls of its local backend.
+	ingressLevels, nestedLevels *pathlevel.Table
+	retryThrottles              map[string]*budget.Throttle
+	// bulkheads bounds the pending calls of the local backend, by called service.
+	bulkheads map[string]*admission.Bulkhead
+	// powerLossCallbacks notify the callers of the requests that entered here when
+	// the node loses power.
+	powerLossCallbacks map[*call]func()
 }
 
-// call is a request, or a call of one, at the node where it began.
+// call is a caller's request or a nested call, at the node where it starts.
 type call struct {
-	kind     *kind
-	root     *kind
-	rank     rank.Rank
-	depth    uint8
-	repeat   bool
-	parent   *work
-	pool     *budget.Pool
-	deadline time.Duration
-	state    retry.Call
-	sentTo   []*route.Instance
-	avoid    *route.Instance
-	last     fault.Code
-	// mayHaveRun is set once a server may have seen an attempt.
-	mayHaveRun bool
-	ended      bool
-	// waits is what it counts against while its server waits for it, or nil.
-	waits *admission.Bulkhead
-	// cancel ends the attempt under way.
-	cancel func()
-	done   func(answer)
+	kind       *indexedKind
+	rootKind   *indexedKind
+	rank       rank.Rank
+	depth      uint8
+	isRetry    bool
+	parent     *execution
+	retryPool  *budget.Pool
+	deadline   time.Duration
+	retryState retry.Call
+	offeredTo  []*route.Instance
+	avoid      *route.Instance
+	lastCode   fault.Code
+	// mayHaveExecuted is set once a server may have executed an attempt.
+	mayHaveExecuted bool
+	completed       bool
+	// bulkhead is held until a nested call completes; nil for a caller's request.
+	bulkhead *admission.Bulkhead
+	// cancelAttempt cancels the attempt in flight, if not nil.
+	cancelAttempt func()
+	onComplete    func(outcome)
 }
 
-// answer is what became of a call.
-type answer struct {
-	// code is fault.None for an answer of the server, which says failed if below is
-	// set.
-	code fault.Code
-	run  fault.Run
-	// below is set if a call that the server made failed.
-	below bool
-	// level is what sheds the request, for the time to come back.
-	level rank.Level
-	// offered tells whether a server was offered the call.
+// outcome is the result of a call or of an attempt.
+type outcome struct {
+	// code is fault.None for a response of the server, which reports a failure if
+	// nestedFailed is set.
+	code      fault.Code
+	execution fault.Run
+	// nestedFailed is set if a nested call of the server failed.
+	nestedFailed bool
+	// admissionLevel determines the time until a refused caller may retry.
+	admissionLevel rank.Level
+	// offered reports whether a server was offered the call.
 	offered bool
-	// report is what the answer tells of the instance, and path of what is below it.
-	report route.Report
-	path   rank.Level
-	// spent is how much of its lease the attempt used.
-	spent int
+	// report describes the instance, pathLevel the level of the path below it.
+	report    route.Report
+	pathLevel rank.Level
+	// retriesSpent is the number of leased retries that the attempt used.
+	retriesSpent int
 }
 
-func (a answer) ok() bool { return a.code == fault.None && !a.below }
+// succeeded reports whether the server executed the call without a nested failure.
+func (o outcome) succeeded() bool { return o.code == fault.None && !o.nestedFailed }
 
-// begin sends a call on its way.
-func (n *node) begin(c *call) {
-	p := n.p
-	boot := n.boot
-	p.after(c.deadline-p.now, func() {
-		if n.boot == boot {
-			n.end(c, answer{code: fault.Deadline, run: fault.RunUnknown})
+// startCall starts a call with its deadline, unless the path level or the bulkhead
+// refuses it.
+func (n *node) startCall(c *call) {
+	sim := n.sim
+	incarnation := n.incarnation
+	sim.schedule(c.deadline-sim.now, func() {
+		if n.incarnation == incarnation {
+			n.completeCall(c, outcome{code: fault.Deadline, execution: fault.RunUnknown})
 		}
 	})
 	if c.depth == 0 {
-		if l := n.entered.Level(c.root.Name, p.now); !l.Admits(c.rank, 0) {
-			n.end(c, answer{code: fault.Overload, run: fault.RunNo, level: l})
+		if l := n.ingressLevels.Level(c.rootKind.Name, sim.now); !l.Admits(c.rank, 0) {
+			n.completeCall(c, outcome{code: fault.Overload, execution: fault.RunNo, admissionLevel: l})
 			return
 		}
-	} else if !n.hold(c) {
-		n.end(c, answer{code: fault.ShareSpent, run: fault.RunNo, level: rank.Count / 4})
+	} else if !n.acquireBulkhead(c) {
+		n.completeCall(c, outcome{code: fault.ShareSpent, execution: fault.RunNo, admissionLevel: rank.Count / 4})
 		return
 	}
-	share := n.share(c.kind.Service)
-	if c.repeat {
-		share.RecordRetry(p.now, p.limits)
+	share := n.retryThrottle(c.kind.Service)
+	if c.isRetry {
+		share.RecordRetry(sim.now, sim.retryLimits)
 	} else {
-		share.RecordFirstAttempt(p.now, p.limits)
+		share.RecordFirstAttempt(sim.now, sim.retryLimits)
 	}
-	n.attempt(c)
+	n.startAttempt(c)
 }
 
-// hold counts a call against the share of the server's slots that may wait on one
-// service.
-func (n *node) hold(c *call) bool {
-	w := n.waits[c.kind.Service]
-	if w == nil {
-		w = &admission.Bulkhead{}
-		n.waits[c.kind.Service] = w
+// acquireBulkhead counts a nested call against the bulkhead of its service and reports
+// whether there was room.
+func (n *node) acquireBulkhead(c *call) bool {
+	b := n.bulkheads[c.kind.Service]
+	if b == nil {
+		b = &admission.Bulkhead{}
+		n.bulkheads[c.kind.Service] = b
 	}
-	if !w.TryAcquire(n.server.spec.Slots, n.p.fleet.Policy.ShareMax, c.rank) {
+	if !b.TryAcquire(n.server.spec.Slots, n.sim.scenario.Policy.ShareMax, c.rank) {
 		return false
 	}
-	c.waits = w
+	c.bulkhead = b
 	return true
 }
 
-func (n *node) share(service string) *budget.Throttle {
-	s := n.retries[service]
+// retryThrottle returns the retry throttle of a service.
+func (n *node) retryThrottle(service string) *budget.Throttle {
+	s := n.retryThrottles[service]
 	if s == nil {
 		s = &budget.Throttle{}
-		n.retries[service] = s
+		n.retryThrottles[service] = s
 	}
 	return s
 }
 
-// end answers a call, once.
-func (n *node) end(c *call, a answer) {
-	if c.ended {
+// completeCall reports the outcome of a call; only the first one counts.
+func (n *node) completeCall(c *call, o outcome) {
+	if c.completed {
 		return
 	}
-	c.ended = true
-	if c.cancel != nil {
-		c.cancel()
+	c.completed = true
+	if c.cancelAttempt != nil {
+		c.cancelAttempt()
 	}
-	if c.mayHaveRun && a.code != fault.None {
-		a.run = fault.RunUnknown
+	if c.mayHaveExecuted && o.code != fault.None {
+		o.execution = fault.RunUnknown
 	}
-	delete(n.callers, c)
-	if c.waits != nil {
-		c.waits.Release()
+	delete(n.powerLossCallbacks, c)
+	if c.bulkhead != nil {
+		c.bulkhead.Release()
 	}
 	if c.parent != nil {
-		c.parent.finished++
+		c.parent.nestedCalls++
 	}
-	c.done(a)
+	c.onComplete(o)
 }
 
-// attempt sends a call to one instance.
-func (n *node) attempt(c *call) {
-	p := n.p
-	c.state.Attempts++
+// startAttempt picks an instance for a call and sends the call to it.
+func (n *node) startAttempt(c *call) {
+	sim := n.sim
+	c.retryState.Attempts++
 	q := route.Query{
-		Service: c.kind.Service, Rank: c.rank, Depth: c.depth, Now: p.now, Avoid: c.avoid, AvoidIfOthers: c.last == fault.Rejected,
-		Options: route.Options{SpillAt: p.fleet.Policy.SpillAt, EjectMax: p.fleet.Policy.EjectMax, Ramp: p.fleet.Policy.Ramp},
+		Service: c.kind.Service, Rank: c.rank, Depth: c.depth, Now: sim.now, Avoid: c.avoid, AvoidIfOthers: c.lastCode == fault.Rejected,
+		Options: route.Options{SpillAt: sim.scenario.Policy.SpillAt, EjectMax: sim.scenario.Policy.EjectMax, Ramp: sim.scenario.Policy.Ramp},
 	}
-	if c.state.MaxOffered > 0 && c.state.Offered >= c.state.MaxOffered {
-		q.Among = c.sentTo
+	if c.retryState.MaxOffered > 0 && c.retryState.Offered >= c.retryState.MaxOffered {
+		q.Among = c.offeredTo
 	}
-	in, code := n.routes.Pick(&q, p.rng)
+	in, code := n.routes.Pick(&q, sim.rng)
 	if in == nil {
-		n.attempted(c, nil, answer{code: code, run: fault.RunNo, level: rank.Count / 2})
+		n.completeAttempt(c, nil, outcome{code: code, execution: fault.RunNo, admissionLevel: rank.Count / 2})
 		return
 	}
 	in.Seen.Begin()
 	if in.ID == n.id {
-		w := n.accept(c, c.pool, c.repeat, func(a answer) {
-			c.cancel = nil
-			n.pathOf(c).Observe(c.root.Name, c.kind.Service, a.path, p.now)
-			a.report.Took = 0
-			in.Seen.End(p.now, a.report, p.eject())
-			n.attempted(c, in, a)
+		e := n.accept(c, c.retryPool, c.isRetry, func(o outcome) {
+			c.cancelAttempt = nil
+			n.pathLevels(c).Observe(c.rootKind.Name, c.kind.Service, o.pathLevel, sim.now)
+			o.report.Took = 0
+			in.Seen.End(sim.now, o.report, sim.ejectOptions())
+			n.completeAttempt(c, in, o)
 		})
-		if !w.ended {
-			c.cancel = func() {
-				in.Seen.End(p.now, route.Report{}, p.eject())
-				w.cancel()
+		if !e.completed {
+			c.cancelAttempt = func() {
+				in.Seen.End(sim.now, route.Report{}, sim.ejectOptions())
+				e.cancel()
 			}
 		}
 		return
 	}
-	n.send(c, in)
+	n.sendToPeer(c, in)
 }
 
-// send sends a call to the node beside another server.
-func (n *node) send(c *call, in *route.Instance) {
-	p := n.p
-	to := p.byID[in.ID]
-	way, began := p.way(n.domain, to.domain), p.now
-	lease := c.pool.Lease()
-	below := &budget.Pool{}
-	below.Reset(lease)
-	repeat := c.repeat || c.state.Attempts-c.state.Uncharged > 1
-	var w *work
-	open, boot := true, n.boot
-	back := func(a answer) {
-		if !open || n.boot != boot {
+// sendToPeer sends a call to the node of an instance, with a lease on the retry pool.
+func (n *node) sendToPeer(c *call, in *route.Instance) {
+	sim := n.sim
+	to := sim.nodesByID[in.ID]
+	latency, startedAt := sim.latency(n.domain, to.domain), sim.now
+	lease := c.retryPool.Lease()
+	peerPool := &budget.Pool{}
+	peerPool.Reset(lease)
+	isRetry := c.isRetry || c.retryState.Attempts-c.retryState.Uncharged > 1
+	var e *execution
+	pending, incarnation := true, n.incarnation
+	handleResponse := func(o outcome) {
+		if !pending || n.incarnation != incarnation {
 			return
 		}
-		open = false
-		c.cancel = nil
-		if a.code == fault.PeerSilent {
-			c.pool.ForfeitLease(lease)
+		pending = false
+		c.cancelAttempt = nil
+		if o.code == fault.PeerSilent {
+			c.retryPool.ForfeitLease(lease)
 			in.Seen.CutOff(true)
 		} else {
-			c.pool.SettleLease(lease, a.spent)
-			n.pathOf(c).Observe(c.root.Name, c.kind.Service, a.path, p.now)
-			a.report.Took = p.now - began
+			c.retryPool.SettleLease(lease, o.retriesSpent)
+			n.pathLevels(c).Observe(c.rootKind.Name, c.kind.Service, o.pathLevel, sim.now)
+			o.report.Took = sim.now - startedAt
 		}
-		in.Seen.End(p.now, a.report, p.eject())
-		n.attempted(c, in, a)
+		in.Seen.End(sim.now, o.report, sim.ejectOptions())
+		n.completeAttempt(c, in, o)
 	}
-	c.cancel = func() {
-		if !open {
+	c.cancelAttempt = func() {
+		if !pending {
 			return
 		}
-		open = false
-		c.pool.ForfeitLease(lease)
-		in.Seen.End(p.now, route.Report{Waited: p.now - began}, p.eject())
-		p.after(way, func() {
-			if w != nil {
-				w.cancel()
+		pending = false
+		c.retryPool.ForfeitLease(lease)
+		in.Seen.End(sim.now, route.Report{Waited: sim.now - startedAt}, sim.ejectOptions())
+		sim.schedule(latency, func() {
+			if e != nil {
+				e.cancel()
 			}
 		})
 	}
-	silent := func() {
-		p.after(p.fleet.Policy.Silence, func() {
-			back(answer{code: fault.PeerSilent, run: fault.RunUnknown, report: route.Report{Failed: true}})
+	detectSilence := func() {
+		sim.schedule(sim.scenario.Policy.SilenceTimeout, func() {
+			handleResponse(outcome{code: fault.PeerSilent, execution: fault.RunUnknown, report: route.Report{Failed: true}})
 		})
 	}
-	p.after(way, func() {
+	sim.schedule(latency, func() {
 		if to.down {
-			silent()
+			detectSilence()
 			return
 		}
-		w = to.accept(c, below, repeat, func(a answer) {
-			a.spent = below.Spent()
-			p.after(way, func() { back(a) })
+		e = to.accept(c, peerPool, isRetry, func(o outcome) {
+			o.retriesSpent = peerPool.Spent()
+			sim.schedule(latency, func() { handleResponse(o) })
 		})
-		w.lost = silent
-		if !open {
-			w.cancel()
+		e.onPowerLoss = detectSilence
+		if !pending {
+			e.cancel()
 		}
 	})
 }
 
-func (n *node) pathOf(c *call) *pathlevel.Table {
+// pathLevels returns the table of path levels that applies to a call.
+func (n *node) pathLevels(c *call) *pathlevel.Table {
 	if c.depth > 0 {
-		return n.nested
+		return n.nestedLevels
 	}
-	return n.entered
+	return n.ingressLevels
 }
 
-// attempted decides what follows an attempt.
-func (n *node) attempted(c *call, in *route.Instance, a answer) {
-	if c.ended {
+// completeAttempt retries a failed attempt if permitted and completes the call otherwise.
+func (n *node) completeAttempt(c *call, in *route.Instance, o outcome) {
+	if c.completed {
 		return
 	}
-	c.mayHaveRun = c.mayHaveRun || a.run != fault.RunNo
-	if in != nil && (a.offered || a.run != fault.RunNo) && !in.In(c.sentTo) {
-		c.sentTo = append(c.sentTo, in)
-		c.state.Offered = len(c.sentTo)
+	c.mayHaveExecuted = c.mayHaveExecuted || o.execution != fault.RunNo
+	if in != nil && (o.offered || o.execution != fault.RunNo) && !in.In(c.offeredTo) {
+		c.offeredTo = append(c.offeredTo, in)
+		c.retryState.Offered = len(c.offeredTo)
 	}
-	if a.code == fault.None || !n.mayRetry(c, in, a) {
-		n.end(c, a)
+	if o.code == fault.None || !n.tryRetry(c, in, o) {
+		n.completeCall(c, o)
 		return
 	}
-	c.avoid, c.last = in, a.code
-	n.attempt(c)
+	c.avoid, c.lastCode = in, o.code
+	n.startAttempt(c)
 }
 
-func (n *node) mayRetry(c *call, in *route.Instance, a answer) bool {
-	p := n.p
-	switch retry.Decide(c.state, retry.Failure{Code: a.code, Execution: a.run, InstanceChosen: in != nil}) {
+// tryRetry reports whether a failed attempt may be retried, and charges the retry.
+func (n *node) tryRetry(c *call, in *route.Instance, o outcome) bool {
+	sim := n.sim
+	switch retry.Decide(c.retryState, retry.Failure{Code: o.code, Execution: o.execution, InstanceChosen: in != nil}) {
 	case retry.RetryUncharged:
-		c.state.Uncharged++
+		c.retryState.Uncharged++
 		return true
 	case retry.RetryCharged:
-		if !c.pool.TrySpend() {
+		if !c.retryPool.TrySpend() {
 			return false
 		}
-		if !n.share(c.kind.Service).AllowRetry(p.now, c.rank, p.limits) {
-			c.pool.SettleLease(1, 0)
+		if !n.retryThrottle(c.kind.Service).AllowRetry(sim.now, c.rank, sim.retryLimits) {
+			c.retryPool.SettleLease(1, 0)
 			return false
 		}
 		return true
--- a/internal/fleetmodel/result.go
+++ b/internal/fleetmodel/result.go
@@ -6,114 +6,117 @@
 	"github.com/umberthread/umberthread/fault"
 )
 
-// Result is what became of the requests that were sent after the lead.
+// Result holds the outcomes of the requests first sent after the warmup.
 type Result struct {
 	Kinds map[string]*KindResult
-	// Seconds is the share of what was owed that was earned, by the second in which
-	// requests were first sent.
-	Seconds []float64
-	// Calls counts the calls of servers by kind, and Nested those that failed, by kind
-	// and reason.
-	Calls  map[string]int
-	Nested map[string]map[fault.Code]int
-	lead   time.Duration
-	owed   []float64
+	// EarnedBySecond is the value earned, by the second in which requests were first
+	// sent.
+	EarnedBySecond []float64
+	// NestedCalls counts the calls of servers by kind, and NestedFailures the failed
+	// ones by kind and code. They include calls during the warmup.
+	NestedCalls      map[string]int
+	NestedFailures   map[string]map[fault.Code]int
+	warmup           time.Duration
+	possibleBySecond []float64
 }
 
-// KindResult is what became of the requests of a kind.
+// KindResult holds the outcomes of the requests of one kind.
 type KindResult struct {
-	// Sent is how many callers sent, InTime and Late how many were answered, Refused
-	// how many were told that they did not run, and Failed the rest.
+	// Sent counts all requests, InTime and Late those answered within the objective
+	// and after it, Refused those reported as not executed, and Failed the rest.
 	Sent, InTime, Late, Refused, Failed int
-	// Owed and Earned are in the unit of Kind.Worth.
-	Owed, Earned float64
-	// Reasons counts why those that were not answered ended.
-	Reasons map[fault.Code]int
+	// PossibleValue and EarnedValue are in the unit of RequestKind.Value.
+	PossibleValue, EarnedValue float64
+	// FailuresByCode counts the refused and failed requests by code.
+	FailuresByCode map[fault.Code]int
 }
 
 func newResult(f Scenario) *Result {
-	seconds := int(f.Length/time.Second) + 1
+	seconds := int(f.Duration/time.Second) + 1
 	r := &Result{
-		Kinds: map[string]*KindResult{}, Calls: map[string]int{}, Nested: map[string]map[fault.Code]int{},
-		Seconds: make([]float64, seconds), owed: make([]float64, seconds), lead: f.Lead,
+		Kinds: map[string]*KindResult{}, NestedCalls: map[string]int{}, NestedFailures: map[string]map[fault.Code]int{},
+		EarnedBySecond: make([]float64, seconds), possibleBySecond: make([]float64, seconds), warmup: f.Warmup,
 	}
 	for _, k := range f.Kinds {
-		if k.PerSecond > 0 {
-			r.Kinds[k.Name] = &KindResult{Reasons: map[fault.Code]int{}}
+		if k.RatePerSecond > 0 {
+			r.Kinds[k.Name] = &KindResult{FailuresByCode: map[fault.Code]int{}}
 		}
 	}
 	return r
 }
 
-// Worth is the share of what was owed that was earned.
+// ValueFraction returns the earned fraction of the possible value of all requests.
 func (r *Result) ValueFraction() float64 {
 	owed, earned := 0.0, 0.0
 	for _, k := range r.Kinds {
-		owed += k.Owed
-		earned += k.Earned
+		owed += k.PossibleValue
+		earned += k.EarnedValue
 	}
 	return earned / max(owed, 1)
 }
 
-// Share is the share of the worth of a kind that was earned.
-func (k *KindResult) ValueFraction() float64 { return k.Earned / max(k.Owed, 1) }
+// ValueFraction returns the earned fraction of the possible value of the kind.
+func (k *KindResult) ValueFraction() float64 { return k.EarnedValue / max(k.PossibleValue, 1) }
 
-// LostCalls is the share of the calls of a kind that failed.
-func (r *Result) LostCalls(kind string) float64 {
+// NestedFailureRate returns the fraction of the nested calls of a kind that failed.
+func (r *Result) NestedFailureRate(kind string) float64 {
 	lost := 0
-	for _, n := range r.Nested[kind] {
+	for _, n := range r.NestedFailures[kind] {
 		lost += n
 	}
-	return float64(lost) / max(float64(r.Calls[kind]), 1)
+	return float64(lost) / max(float64(r.NestedCalls[kind]), 1)
 }
 
-// Second is the share that was earned of what was owed for the requests of a second.
-func (r *Result) Second(i int) float64 { return r.Seconds[i] / max(r.owed[i], 1) }
+// ValueFractionInSecond returns the earned fraction of the possible value of the
+// requests first sent in second i.
+func (r *Result) ValueFractionInSecond(i int) float64 {
+	return r.EarnedBySecond[i] / max(r.possibleBySecond[i], 1)
+}
 
-func (r *Result) counts(q *request) bool { return q.first >= r.lead }
+func (r *Result) isCounted(q *callerRequest) bool { return q.firstSent >= r.warmup }
 
-func (r *Result) sent(q *request) {
-	if !r.counts(q) {
+func (r *Result) recordSent(q *callerRequest) {
+	if !r.isCounted(q) {
 		return
 	}
 	k := r.Kinds[q.kind.Name]
 	k.Sent++
-	k.Owed += q.kind.Worth
-	r.owed[q.first/time.Second] += q.kind.Worth
+	k.PossibleValue += q.kind.Value
+	r.possibleBySecond[q.firstSent/time.Second] += q.kind.Value
 }
 
-func (r *Result) ended(q *request, a answer, now time.Duration) {
-	if !r.counts(q) {
+func (r *Result) recordOutcome(q *callerRequest, o outcome, now time.Duration) {
+	if !r.isCounted(q) {
 		return
 	}
 	k := r.Kinds[q.kind.Name]
-	worth := 0.0
+	value := 0.0
 	switch {
-	case a.ok() && now-q.first <= q.kind.Objective:
+	case o.succeeded() && now-q.firstSent <= q.kind.LatencyObjective:
 		k.InTime++
-		worth = q.kind.Worth
-	case a.ok():
+		value = q.kind.Value
+	case o.succeeded():
 		k.Late++
-		worth = q.kind.Late
-	case a.code != fault.None && a.run == fault.RunNo:
+		value = q.kind.LateValue
+	case o.code != fault.None && o.execution == fault.RunNo:
 		k.Refused++
-		k.Reasons[a.code]++
+		k.FailuresByCode[o.code]++
 	default:
 		k.Failed++
-		k.Reasons[a.code]++
+		k.FailuresByCode[o.code]++
 	}
-	k.Earned += worth
-	r.Seconds[q.first/time.Second] += worth
+	k.EarnedValue += value
+	r.EarnedBySecond[q.firstSent/time.Second] += value
 }
 
-// nested notes what became of a call of a server.
-func (r *Result) nested(k *kind, a answer) {
-	r.Calls[k.Name]++
-	if a.ok() {
+// recordNestedOutcome records the outcome of a nested call.
+func (r *Result) recordNestedOutcome(k *indexedKind, o outcome) {
+	r.NestedCalls[k.Name]++
+	if o.succeeded() {
 		return
 	}
-	if r.Nested[k.Name] == nil {
-		r.Nested[k.Name] = map[fault.Code]int{}
+	if r.NestedFailures[k.Name] == nil {
+		r.NestedFailures[k.Name] = map[fault.Code]int{}
 	}
-	r.Nested[k.Name][a.code]++
+	r.NestedFailures[k.Name][o.code]++
 }
--- a/internal/fleetmodel/server.go
+++ b/internal/fleetmodel/server.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// server is one backend server.
+// server is a simulated backend server.
 type server struct {
-	spec  *Service
-	speed float64
-	// busy is how many requests are in work.
-	busy int
-	// slow is how many times as long work takes; shed and lose are the shares of the
-	// requests that it turns away and whose answers it loses.
-	slow, shed, lose float64
+	spec        *Service
+	speedFactor float64
+	// inFlight is the number of requests being executed.
+	inFlight int
+	// slowdown multiplies the service times; rejectFraction and lossFraction are the
+	// fractions of requests that it rejects and whose responses it loses.
+	slowdown, rejectFraction, lossFraction float64
 }
 
-// time draws how long a request takes that begins now.
-func (s *server) time(rng *rand.Rand, k *Kind) time.Duration {
-	mean := float64(k.Work) * math.Exp(k.Spread*rng.NormFloat64()-k.Spread*k.Spread/2)
-	if k.WorkMax > 0 {
-		mean = min(mean, float64(k.WorkMax))
+// drawServiceTime draws the log-normal service time of a request that starts now.
+func (s *server) drawServiceTime(rng *rand.Rand, k *RequestKind) time.Duration {
+	mean := float64(k.MeanServiceTime) * math.Exp(k.ServiceTimeSigma*rng.NormFloat64()-k.ServiceTimeSigma*k.ServiceTimeSigma/2)
+	if k.MaxServiceTime > 0 {
+		mean = min(mean, float64(k.MaxServiceTime))
 	}
-	if s.spec.Knee > 0 && float64(s.busy) > s.spec.Knee*float64(s.spec.Slots) {
-		mean *= s.spec.KneeTimes
+	if s.spec.KneeUtilization > 0 && float64(s.inFlight) > s.spec.KneeUtilization*float64(s.spec.Slots) {
+		mean *= s.spec.KneeSlowdown
 	}
-	return time.Duration(mean * s.slow / s.speed)
+	return time.Duration(mean * s.slowdown / s.speedFactor)
 }
