--- a/cmd/umberbench/soak.go
+++ b/cmd/umberbench/soak.go
@@ -135,7 +135,7 @@
 
 // printKinds prints how often each kind of step was planned and carried out.
 func printKinds(reports []*soak.Report) {
-	planned, played := map[soak.Kind]int{}, map[soak.Kind]int{}
+	planned, played := map[soak.StepKind]int{}, map[soak.StepKind]int{}
 	for _, rep := range reports {
 		for _, s := range rep.Steps {
 			planned[s.Kind]++
--- a/internal/soak/act.go
+++ b/internal/soak/act.go
@@ -82,7 +82,7 @@
 }
 
 // disturb sets a fault of a relay, or ends it.
-func disturb(l *relay.Relay, k Kind, on bool) {
+func disturb(l *relay.Relay, k StepKind, on bool) {
 	switch k {
 	case CutThere:
 		l.There.Store(on)
@@ -98,7 +98,7 @@
 	}
 }
 
-func faultsOf(k Kind) standin.Faults {
+func faultsOf(k StepKind) standin.Faults {
 	if k == ServerSlow {
 		return standin.Faults{Slow: slowBy}
 	}
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -8,56 +8,56 @@
 )
 
 // Kind is what a step does.
-type Kind string
+type StepKind string
 
 // The kinds of steps. The first group acts on the process of a node.
 const (
-	Freeze Kind = "freeze" // SIGSTOP, and SIGCONT later
-	Kill   Kind = "kill"   // SIGKILL, and a start later
-	Term   Kind = "term"   // SIGTERM, and a start later
-	Wipe   Kind = "wipe"   // SIGKILL, the folder is lost, and a start later
-	Torn   Kind = "torn"   // SIGKILL, the log ends in half a record, and a start later
+	Freeze StepKind = "freeze" // SIGSTOP, and SIGCONT later
+	Kill   StepKind = "kill"   // SIGKILL, and a start later
+	Term   StepKind = "term"   // SIGTERM, and a start later
+	Wipe   StepKind = "wipe"   // SIGKILL, the folder is lost, and a start later
+	Torn   StepKind = "torn"   // SIGKILL, the log ends in half a record, and a start later
 	// Replace is SIGKILL for good; another comes later, empty and at other addresses.
-	Replace Kind = "replace"
+	Replace StepKind = "replace"
 
-	CutThere Kind = "cut-there" // nothing reaches the node
-	CutBack  Kind = "cut-back"  // nothing of the node's answers gets out
-	CutBoth  Kind = "cut-both"
-	Silence  Kind = "silence" // connections that are open go silent for good
-	Reset    Kind = "reset"   // connections that are open are closed
-	Delay    Kind = "delay"   // what is sent to the node comes late
+	CutThere StepKind = "cut-there" // nothing reaches the node
+	CutBack  StepKind = "cut-back"  // nothing of the node's answers gets out
+	CutBoth  StepKind = "cut-both"
+	Silence  StepKind = "silence" // connections that are open go silent for good
+	Reset    StepKind = "reset"   // connections that are open are closed
+	Delay    StepKind = "delay"   // what is sent to the node comes late
 
-	ServerLost  Kind = "server-lost" // a backend server ends without a word
-	ServerDrain Kind = "server-drain"
-	ServerSlow  Kind = "server-slow"
-	ServerFail  Kind = "server-fail" // it fails half of the requests
+	ServerLost  StepKind = "server-lost" // a backend server ends without a word
+	ServerDrain StepKind = "server-drain"
+	ServerSlow  StepKind = "server-slow"
+	ServerFail  StepKind = "server-fail" // it fails half of the requests
 
-	Stall Kind = "stall" // syncs of a replica's disk do not return
+	Stall StepKind = "stall" // syncs of a replica's disk do not return
 
-	Change Kind = "change" // an operator changes the settings
-	Race   Kind = "race"   // two do so at once, on the same version
+	Change StepKind = "change" // an operator changes the settings
+	Race   StepKind = "race"   // two do so at once, on the same version
 )
 
 // kinds are the kinds that a plan draws from; one that stands twice comes twice
 // as often.
-var kinds = []Kind{
+var kinds = []StepKind{
 	Freeze, Kill, Term, Term, Wipe, Replace, Torn, CutThere, CutBack, CutBoth, Silence, Reset, Delay,
 	ServerLost, ServerDrain, ServerSlow, ServerFail, Change, Change, Race,
 }
 
 // takesDisk tells whether the kind costs a replica its disk.
-func (k Kind) takesDisk() bool { return k == Wipe || k == Replace }
+func (k StepKind) takesDisk() bool { return k == Wipe || k == Replace }
 
 // needsDisk tells whether the kind is for nodes with a disk.
-func (k Kind) needsDisk() bool { return k.takesDisk() || k == Torn || k == Stall }
+func (k StepKind) needsDisk() bool { return k.takesDisk() || k == Torn || k == Stall }
 
 // stopsProcess tells whether the kind ends the process of a node.
-func (k Kind) stopsProcess() bool {
+func (k StepKind) stopsProcess() bool {
 	return k == Kill || k == Term || k.takesDisk() || k == Torn
 }
 
 // harmless tells whether the kind disturbs no node.
-func (k Kind) harmless() bool { return k == Change || k == Race || k == Term }
+func (k StepKind) harmless() bool { return k == Change || k == Race || k == Term }
 
 // Failure is a run that once broke a promise, kept to be played again.
 type Failure struct {
@@ -84,7 +84,7 @@
 // Step is one injected fault, or one planned act of an operator.
 type Step struct {
 	At   time.Duration
-	Kind Kind
+	Kind StepKind
 	// Target is the index of the node, or of the backend server beside it.
 	Target int
 	// For is how long it lasts: until the process is started again, for those
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -47,7 +47,7 @@
 	Steps []Step
 	// Played counts the steps that were carried out, by kind: a step that takes a
 	// disk is left out while the replicas do not bear it.
-	Played map[Kind]int
+	Played map[StepKind]int
 	Broken []Broken
 	// Attempts, Served and Refused count what callers saw.
 	Attempts, Served, Refused int
@@ -207,10 +207,10 @@
 }
 
 // played counts the steps carried out so far, by kind.
-func (r *run) played() map[Kind]int {
+func (r *run) played() map[StepKind]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := map[Kind]int{}
+	out := map[StepKind]int{}
 	for _, sp := range r.spells {
 		out[sp.Kind]++
 	}
