--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -19,7 +19,7 @@
 	// Seed decides the plan.
 	Seed uint64
 	// Span is how long steps begin.
-	Span time.Duration
+	Duration time.Duration
 	// Stalls tells whether disks stall too, and Poison whether a request that ends
 	// backend servers is sent once all is well again.
 	Stalls, Poison bool
@@ -114,9 +114,9 @@
 
 // play carries the plan out under load and checks what it did.
 func (r *run) play() *Report {
-	steps := Plan(r.opt.Seed, r.opt.Nodes, replicas, r.opt.Span)
+	steps := Plan(r.opt.Seed, r.opt.Nodes, replicas, r.opt.Duration)
 	if r.opt.Stalls {
-		steps = together(steps, StallPlan(r.opt.Seed, replicas, r.opt.Span))
+		steps = together(steps, StallPlan(r.opt.Seed, replicas, r.opt.Duration))
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	var load, acts sync.WaitGroup
