--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -26,7 +26,7 @@
 	// Nodes is how many nodes there are, at least 6.
 	Nodes int
 	// PerSecond is how many requests callers send in a second.
-	PerSecond int
+	RequestRate int
 }
 
 const (
@@ -88,8 +88,8 @@
 // hold are in the report.
 func Run(o Options) (*Report, error) {
 	o.Nodes = max(o.Nodes, leastNodes)
-	if o.PerSecond <= 0 {
-		o.PerSecond = defaultPerSecond
+	if o.RequestRate <= 0 {
+		o.RequestRate = defaultPerSecond
 	}
 	f, err := startFleet(o.Bin, o.Nodes)
 	if f != nil {
@@ -121,7 +121,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var load, acts sync.WaitGroup
 	load.Add(2)
-	go func() { defer load.Done(); r.callers.run(ctx, r.opt.PerSecond) }()
+	go func() { defer load.Done(); r.callers.run(ctx, r.opt.RequestRate) }()
 	go func() { defer load.Done(); r.watchVersions(ctx) }()
 	start := time.Now()
 	for _, s := range steps {
