--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -61,8 +61,8 @@
 
 // Failure is a run that once broke a promise, kept to be played again.
 type Failure struct {
-	Seed uint64
-	Span time.Duration
+	Seed     uint64
+	Duration time.Duration
 	// Stalls tells whether disks stalled.
 	Stalls bool
 	Cause  string
