--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -31,7 +31,7 @@
 	t.Helper()
 	g := gomega.NewWithT(t)
 	for _, seed := range seeds {
-		rep, err := soak.Run(soak.Options{Bin: bin, Seed: seed, Duration: soakSpan, Stalls: stalls})
+		rep, err := soak.Run(soak.Options{Bin: bin, Seed: seed, Duration: soakSpan, DiskStalls: stalls})
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(rep.Broken).To(gomega.BeEmpty(), "seed %d, steps %v, logs in %s", seed, rep.Steps, rep.Folder)
 		g.Expect(rep.Served).To(gomega.BeNumerically(">", rep.Attempts/2))
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -22,7 +22,7 @@
 	Duration time.Duration
 	// Stalls tells whether disks stall too, and Poison whether a request that ends
 	// backend servers is sent once all is well again.
-	Stalls, Poison bool
+	DiskStalls, Poison bool
 	// Nodes is how many nodes there are, at least 6.
 	Nodes int
 	// PerSecond is how many requests callers send in a second.
@@ -115,7 +115,7 @@
 // play carries the plan out under load and checks what it did.
 func (r *run) play() *Report {
 	steps := Plan(r.opt.Seed, r.opt.Nodes, replicas, r.opt.Duration)
-	if r.opt.Stalls {
+	if r.opt.DiskStalls {
 		steps = together(steps, StallPlan(r.opt.Seed, replicas, r.opt.Duration))
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -136,7 +136,7 @@
 		r.broke("recovery", "not all is served %s after the last step: %v", recoverWithin, err)
 	}
 	repaired := r.awaitRepair()
-	if r.opt.Stalls {
+	if r.opt.DiskStalls {
 		r.stallOneByOne()
 	}
 	if r.opt.Poison {
