--- a/cmd/umberbench/soak.go
+++ b/cmd/umberbench/soak.go
@@ -83,7 +83,7 @@
 func (o soakOptions) runs(bin string) []soak.Options {
 	var out []soak.Options
 	add := func(seed uint64, span time.Duration, stalls bool) {
-		out = append(out, soak.Options{Bin: bin, Seed: seed, Duration: span, DiskStalls: stalls, Poison: o.poison, Nodes: o.nodes, RequestRate: o.perSecond})
+		out = append(out, soak.Options{Bin: bin, Seed: seed, Duration: span, DiskStalls: stalls, PoisonRequest: o.poison, Nodes: o.nodes, RequestRate: o.perSecond})
 	}
 	if o.failed {
 		for _, f := range soak.KnownFailures {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -22,7 +22,7 @@
 	Duration time.Duration
 	// Stalls tells whether disks stall too, and Poison whether a request that ends
 	// backend servers is sent once all is well again.
-	DiskStalls, Poison bool
+	DiskStalls, PoisonRequest bool
 	// Nodes is how many nodes there are, at least 6.
 	Nodes int
 	// PerSecond is how many requests callers send in a second.
@@ -139,7 +139,7 @@
 	if r.opt.DiskStalls {
 		r.stallOneByOne()
 	}
-	if r.opt.Poison {
+	if r.opt.PoisonRequest {
 		r.poison()
 	}
 	inForce := r.loseReplicas()
