--- a/cmd/umberbench/soak.go
+++ b/cmd/umberbench/soak.go
@@ -88,7 +88,7 @@
 	if o.failed {
 		for _, f := range soak.KnownFailures {
 			fmt.Printf("seed %d: once %s\n", f.Seed, f.Cause)
-			add(f.Seed, f.Duration, f.Stalls)
+			add(f.Seed, f.Duration, f.DiskStalls)
 		}
 		return out
 	}
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -64,8 +64,8 @@
 	Seed     uint64
 	Duration time.Duration
 	// Stalls tells whether disks stalled.
-	Stalls bool
-	Cause  string
+	DiskStalls bool
+	Cause      string
 }
 
 // stalled is a cause that shows only where syncs take 0.5 s and more.
