--- a/internal/soak/act.go
+++ b/internal/soak/act.go
@@ -9,71 +9,72 @@
 	"github.com/umberthread/umberthread/internal/standin"
 )
 
-// spell is the time that a step disturbed a node, or that its backend server
-// did not serve.
-type spell struct {
+// executedStep is a step with the time of its execution.
+type executedStep struct {
 	Step
-	began, ended time.Time
-	// drained is set once the drain of a backend server was in force for
-	// drainNotice and its node was not disturbed; startedAfter is how many
-	// executions began there from then on.
-	drained      bool
-	startedAfter int
+	startedAt, endedAt time.Time
+	// drainEffective is set if neither the node nor the backend server was restarted
+	// during a drain; executionsAfterDrain counts the executions started after
+	// drainGracePeriod.
+	drainEffective       bool
+	executionsAfterDrain int
 }
 
 const (
-	// delayBy is how late a delayed connection delivers.
-	delayBy = 80 * time.Millisecond
-	// drainNotice is how long a draining backend server may still get work.
-	drainNotice = 2 * time.Second
-	// slowBy is how many times longer a slow backend server works.
-	slowBy = 10
+	// injectedDelay is the delay of a delayed connection.
+	injectedDelay = 80 * time.Millisecond
+	// drainGracePeriod is how long a draining backend server may receive requests.
+	drainGracePeriod = 2 * time.Second
+	// slowdownFactor multiplies the service times of a slow backend server.
+	slowdownFactor = 10
 )
 
-// act carries out a step and returns once it is over.
-func (r *run) act(s Step) {
+// executeStep executes a step and returns at its end. A disk loss is skipped while the
+// replicas do not tolerate it.
+func (r *soakRun) executeStep(s Step) {
 	m := r.fleet.members[s.Target]
-	if s.Kind.takesDisk() && !r.mayTakeDisk() {
+	if s.Kind.losesDisk() && !r.reserveDiskLoss() {
 		return
 	}
-	sp := &spell{Step: s, began: time.Now()}
-	r.note(sp)
+	step := &executedStep{Step: s, startedAt: time.Now()}
+	r.recordStep(step)
 	switch {
 	case s.Kind.stopsProcess():
-		r.restart(m, s)
-	case s.Kind == Freeze:
+		r.restartProcess(m, s)
+	case s.Kind == PauseProcess:
 		m.Signal(syscall.SIGSTOP)
 		time.Sleep(s.For)
 		m.Signal(syscall.SIGCONT)
-	case s.Kind == Stall:
-		r.stall(m, s.For)
-	case s.Kind == Change:
-		r.operators.change(s.Target)
-	case s.Kind == Race:
-		r.operators.race(s.Target)
-	case s.Kind == Silence:
-		r.relays(m, func(l *relay.Relay) { l.SilenceOpen() })
-	case s.Kind == Reset:
-		r.relays(m, func(l *relay.Relay) { l.ResetOpen() })
-	case s.Kind == ServerLost:
-		m.loseServer(s.For, r)
+	case s.Kind == StallDisk:
+		r.stallDisk(m, s.For)
+	case s.Kind == ChangeSettings:
+		r.operators.changeSettings(s.Target)
+	case s.Kind == ConflictingChanges:
+		r.operators.submitConflictingChanges(s.Target)
+	case s.Kind == SilenceConnections:
+		r.forEachRelay(m, func(l *relay.Relay) { l.SilenceOpen() })
+	case s.Kind == ResetConnections:
+		r.forEachRelay(m, func(l *relay.Relay) { l.ResetOpen() })
+	case s.Kind == ServerCrash:
+		m.crashServer(s.For, r)
 	case s.Kind == ServerDrain:
-		r.drain(m, sp)
-	case s.Kind == ServerSlow, s.Kind == ServerFail:
-		m.server().SetFaults(faultsOf(s.Kind))
+		r.drainServer(m, step)
+	case s.Kind == ServerSlowdown, s.Kind == ServerErrors:
+		m.currentServer().SetFaults(serverFaults(s.Kind))
 		time.Sleep(s.For)
-		m.server().SetFaults(standin.Faults{})
+		m.currentServer().SetFaults(standin.Faults{})
 	default:
-		r.relays(m, func(l *relay.Relay) { disturb(l, s.Kind, true) })
+		r.forEachRelay(m, func(l *relay.Relay) { setRelayFault(l, s.Kind, true) })
 		time.Sleep(s.For)
-		r.relays(m, func(l *relay.Relay) { disturb(l, s.Kind, false) })
+		r.forEachRelay(m, func(l *relay.Relay) { setRelayFault(l, s.Kind, false) })
 	}
 	r.mu.Lock()
-	sp.ended = time.Now()
+	step.endedAt = time.Now()
 	r.mu.Unlock()
 }
 
-func (r *run) relays(m *member, do func(*relay.Relay)) {
+// forEachRelay calls do for each relay of a member.
+func (r *soakRun) forEachRelay(m *member, do func(*relay.Relay)) {
 	m.relayMu.Lock()
 	defer m.relayMu.Unlock()
 	for _, l := range m.relays {
@@ -81,125 +82,128 @@
 	}
 }
 
-// disturb sets a fault of a relay, or ends it.
-func disturb(l *relay.Relay, k StepKind, on bool) {
+// setRelayFault starts or ends the fault of a step kind at a relay.
+func setRelayFault(l *relay.Relay, k StepKind, on bool) {
 	switch k {
-	case CutThere:
+	case CutInbound:
 		l.There.Store(on)
-	case CutBack:
+	case CutOutbound:
 		l.Back.Store(on)
 	case CutBoth:
 		l.Cut(on)
-	case Delay:
+	case DelayTraffic:
 		l.SetDelay(0)
 		if on {
-			l.SetDelay(delayBy)
+			l.SetDelay(injectedDelay)
 		}
 	}
 }
 
-func faultsOf(k StepKind) standin.Faults {
-	if k == ServerSlow {
-		return standin.Faults{Slow: slowBy}
+// serverFaults returns the stand-in's faults for a step kind.
+func serverFaults(k StepKind) standin.Faults {
+	if k == ServerSlowdown {
+		return standin.Faults{Slow: slowdownFactor}
 	}
 	return standin.Faults{Fail: 0.5}
 }
 
-// restart ends a node's process and starts it again.
-func (r *run) restart(m *member, s Step) {
+// restartProcess stops a node's process as the step requires and starts it again.
+func (r *soakRun) restartProcess(m *member, s Step) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.Wait(0) {
-		r.broke("exit", "node %s had ended by itself, with %d", m.Name, m.Exit())
-	} else if s.Kind == Term {
-		r.term(m)
+		r.reportViolation("exit", "node %s exited unexpectedly with code %d", m.Name, m.Exit())
+	} else if s.Kind == StopProcess {
+		r.stopProcess(m)
 	} else {
 		m.Signal(syscall.SIGKILL)
-		m.Wait(stopSlack)
+		m.Wait(stopGrace)
 	}
-	if s.Kind.takesDisk() {
+	if s.Kind.losesDisk() {
 		if err := os.RemoveAll(m.Folder); err != nil {
-			r.broke("soak", "cannot wipe: %v", err)
+			r.reportViolation("soak", "cannot remove the data folder: %v", err)
 		}
 	}
-	if s.Kind == Replace {
+	if s.Kind == ReplaceNode {
 		if err := r.fleet.Move(m.Node); err != nil {
-			r.broke("soak", "cannot move: %v", err)
+			r.reportViolation("soak", "cannot move the node to other addresses: %v", err)
 		}
 	}
-	if s.Kind == Torn {
-		if err := m.tear(); err != nil {
-			r.broke("soak", "cannot tear: %v", err)
+	if s.Kind == TearLog {
+		if err := m.tearLogs(); err != nil {
+			r.reportViolation("soak", "cannot append a torn record: %v", err)
 		}
 	}
 	time.Sleep(s.For)
 	if err := r.fleet.Restart(m.Node); err != nil {
-		r.broke("start", "node %s does not start: %v", m.Name, err)
+		r.reportViolation("start", "node %s failed to start: %v", m.Name, err)
 		return
 	}
-	m.starts++
+	m.processStarts++
 }
 
-// term stops a process in a planned way. A frozen process hears of it when it
-// goes on.
-func (r *run) term(m *member) {
+// stopProcess stops a process gracefully. A paused process receives the signal when it
+// continues, so the timeout includes maxStepDuration.
+func (r *soakRun) stopProcess(m *member) {
 	m.Signal(syscall.SIGTERM)
-	if !m.Wait(stopTimeout + stopSlack + longest) {
-		r.broke("exit", "node %s was still there %s after it was told to stop", m.Name, stopTimeout+stopSlack+longest)
+	if !m.Wait(stopTimeout + stopGrace + maxStepDuration) {
+		r.reportViolation("exit", "node %s was still running %s after SIGTERM", m.Name, stopTimeout+stopGrace+maxStepDuration)
 		m.Signal(syscall.SIGKILL)
-		m.Wait(stopSlack)
+		m.Wait(stopGrace)
 		return
 	}
 	if code := m.Exit(); code != 0 {
-		r.broke("exit", "node %s exited with %d after SIGTERM", m.Name, code)
+		r.reportViolation("exit", "node %s exited with %d after SIGTERM", m.Name, code)
 	}
 }
 
-// loseServer ends a backend server and starts another at its address.
-func (m *member) loseServer(away time.Duration, r *run) {
+// crashServer stops a backend server without draining it and starts another at its
+// address after the downtime.
+func (m *member) crashServer(away time.Duration, r *soakRun) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.options.Listen = m.server().Addr()
-	m.server().Stop()
+	m.options.Listen = m.currentServer().Addr()
+	m.currentServer().Stop()
 	time.Sleep(away)
-	if err := m.restartServer(); err != nil {
-		r.broke("soak", "cannot start a backend server: %v", err)
+	if err := m.launchServer(); err != nil {
+		r.reportViolation("soak", "cannot start a backend server: %v", err)
 	}
 }
 
-// stall keeps the syncs of a replica's disk from returning for a while.
-func (r *run) stall(m *member, span time.Duration) {
+// stallDisk blocks the syncs of a replica's disk for the given time.
+func (r *soakRun) stallDisk(m *member, span time.Duration) {
 	m.stallMu.Lock()
 	defer m.stallMu.Unlock()
-	if err := os.WriteFile(m.syncHold, nil, 0o644); err != nil {
-		r.broke("soak", "cannot stall a disk: %v", err)
+	if err := os.WriteFile(m.syncHoldFile, nil, 0o644); err != nil {
+		r.reportViolation("soak", "cannot stall a disk: %v", err)
 		return
 	}
 	time.Sleep(span)
-	if err := os.Remove(m.syncHold); err != nil {
-		r.broke("soak", "cannot end a stall: %v", err)
+	if err := os.Remove(m.syncHoldFile); err != nil {
+		r.reportViolation("soak", "cannot end a disk stall: %v", err)
 	}
 }
 
-// drain lets a backend server announce that it drains, and counts what it is
-// given once all must have heard.
-func (r *run) drain(m *member, sp *spell) {
+// drainServer announces the drain of a backend server and counts the executions that
+// start after drainGracePeriod.
+func (r *soakRun) drainServer(m *member, step *executedStep) {
 	m.mu.Lock()
-	s, starts := m.server(), m.starts
+	s, starts := m.currentServer(), m.processStarts
 	m.mu.Unlock()
 	s.SetFaults(standin.Faults{State: "draining"})
-	time.Sleep(drainNotice)
-	before := executions(s)
-	time.Sleep(sp.For)
-	after := executions(s)
+	time.Sleep(drainGracePeriod)
+	before := executionCount(s)
+	time.Sleep(step.For)
+	after := executionCount(s)
 	s.SetFaults(standin.Faults{})
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	sp.drained = m.starts == starts && m.server() == s
-	sp.startedAfter = after - before
+	step.drainEffective = m.processStarts == starts && m.currentServer() == s
+	step.executionsAfterDrain = after - before
 }
 
-func executions(s *standin.Server) int {
+// executionCount returns the number of executions started by a stand-in.
+func executionCount(s *standin.Server) int {
 	n := 0
 	for _, w := range s.Work() {
 		n += w.Runs
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -20,68 +20,70 @@
 	"github.com/umberthread/umberthread/internal/node"
 )
 
-// sort is one sort of request that callers send.
-type sort struct {
-	target string
-	body   int
-	// keyed requests carry an idempotency key and are sent again with it until
-	// they have an answer; others are sent once.
+// requestType is a type of request that callers send.
+type requestType struct {
+	target    string
+	bodyBytes int
+	// keyed requests carry an idempotency key and are resent until they succeed, at
+	// most maxKeyedAttempts times; others are sent once.
 	keyed bool
-	// repeatable requests may be executed more than once.
-	repeatable bool
+	// idempotent requests may be executed more than once.
+	idempotent bool
 }
 
-// The sorts. A read makes two calls to a second service; a note may not be
-// executed twice.
-var sorts = []sort{
-	{target: "soak/front/read", repeatable: true},
-	{target: "soak/front/note", body: 300},
-	{target: "soak/front/book", body: 80, keyed: true},
+// requestTypes are the types that callers choose from. A read makes two nested calls;
+// a note or a booking must not be executed twice.
+var requestTypes = []requestType{
+	{target: "soak/front/read", idempotent: true},
+	{target: "soak/front/note", bodyBytes: 300},
+	{target: "soak/front/book", bodyBytes: 80, keyed: true},
 }
 
 const (
-	// callerDeadline is how long a caller waits for an answer.
+	// callerDeadline is how long a caller waits for a response.
 	callerDeadline = 3 * time.Second
-	// keyedTries bounds the resends of a request with a key.
-	keyedTries  = 8
-	resendPause = 150 * time.Millisecond
+	// maxKeyedAttempts bounds the attempts of a request with a key.
+	maxKeyedAttempts = 8
+	resendDelay      = 150 * time.Millisecond
 )
 
-// attempt is one request that a caller sent, and what it saw of it.
+// attempt is one attempt of a caller with its outcome.
 type attempt struct {
-	id    string
-	sort  int
-	entry int
-	sent  time.Time
-	ended time.Time
-	// status is 0 if there was no whole answer.
+	id          string
+	requestType int
+	entryNode   int
+	sentAt      time.Time
+	endedAt     time.Time
+	// status is the HTTP status, 0 without a complete response.
 	status int
-	// unsent is set if no connection could be made.
-	unsent bool
-	// notRun is set if the answer says that the request was not executed.
-	notRun bool
-	// reason is why a request was refused, as the refusal names it.
-	reason string
-	// wrong says what is wrong with a success.
-	wrong string
+	// notConnected is set if the connection could not be established.
+	notConnected bool
+	// notExecuted is set if the response says that the request was not executed.
+	notExecuted bool
+	// refusalReason is the reason in the problem document of an error response.
+	refusalReason string
+	// responseError describes what is wrong with a successful response.
+	responseError string
 }
 
-// callers send requests to all nodes on connections that they keep.
+// callers sends requests to all nodes over persistent connections and records the
+// attempts.
 type callers struct {
-	entries []string
-	client  *http.Client
-	wg      sync.WaitGroup
+	addresses []string
+	client    *http.Client
+	wg        sync.WaitGroup
 
 	mu       sync.Mutex
 	attempts []attempt
 }
 
 func newCallers(entries []string) *callers {
-	return &callers{entries: entries, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}}}
+	return &callers{addresses: entries, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}}}
 }
 
-// run sends requests at a rate until the context ends, and waits for all.
-func (c *callers) run(ctx context.Context, perSecond int) {
+// sendAtRate sends requests at a constant rate until the context ends and waits for
+// all of them.
+func (c *callers) sendAtRate(ctx context.Context, perSecond int) {
 	t := time.NewTicker(time.Second / time.Duration(perSecond))
 	defer t.Stop()
 	for {
@@ -93,57 +95,57 @@
 			c.wg.Add(1)
 			go func() {
 				defer c.wg.Done()
-				c.request(rand.IntN(len(sorts)), rand.IntN(len(c.entries)))
+				c.sendRequest(rand.IntN(len(requestTypes)), rand.IntN(len(c.addresses)))
 			}()
 		}
 	}
 }
 
-// request sends one request, and one with a key again until it is answered.
-func (c *callers) request(kind, entry int) {
-	s := sorts[kind]
+// sendRequest sends a request; one with a key is resent to random nodes until it
+// succeeds or has used its attempts.
+func (c *callers) sendRequest(typeIndex, nodeIndex int) {
+	s := requestTypes[typeIndex]
 	key := ""
 	tries := 1
 	if s.keyed {
 		key = uuid.Must(uuid.NewV7()).String()
-		tries = keyedTries
+		tries = maxKeyedAttempts
 	}
 	for range tries {
-		a := c.send(kind, entry, key)
+		a := c.sendAttempt(typeIndex, nodeIndex, key)
 		c.mu.Lock()
 		c.attempts = append(c.attempts, a)
 		c.mu.Unlock()
 		if a.status == http.StatusOK {
 			return
 		}
-		time.Sleep(resendPause)
-		entry = rand.IntN(len(c.entries))
+		time.Sleep(resendDelay)
+		nodeIndex = rand.IntN(len(c.addresses))
 	}
 }
 
-// send sends one attempt. With a key, the id is that of the key, so that the
-// backend servers count the executions of all its attempts together.
-func (c *callers) send(kind, entry int, key string) attempt {
-	a := c.sendSort(sorts[kind], entry, key)
-	a.sort = kind
+// sendAttempt sends one attempt. The key, if any, is also the request id, so that the
+// backend servers count the executions of all attempts together.
+func (c *callers) sendAttempt(typeIndex, nodeIndex int, key string) attempt {
+	a := c.sendOnce(requestTypes[typeIndex], nodeIndex, key)
+	a.requestType = typeIndex
 	return a
 }
 
-func (c *callers) sendSort(s sort, entry int, key string) (a attempt) {
-	a = attempt{id: key, entry: entry, sent: time.Now()}
+func (c *callers) sendOnce(s requestType, nodeIndex int, key string) (a attempt) {
+	a = attempt{id: key, entryNode: nodeIndex, sentAt: time.Now()}
 	if a.id == "" {
 		a.id = uuid.NewString()
 	}
-	defer func() { a.ended = time.Now() }()
+	defer func() { a.endedAt = time.Now() }()
 	ctx, cancel := context.WithTimeout(context.Background(), callerDeadline)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.entries[entry]+"/call/"+s.target, bytes.NewReader(make([]byte, s.body)))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.addresses[nodeIndex]+"/call/"+s.target, bytes.NewReader(make([]byte, s.bodyBytes)))
 	if err != nil {
-		a.wrong = err.Error()
+		a.responseError = err.Error()
 		return a
 	}
-	// Without this, a body that can be read again lets the client resend by
-	// itself on a connection that was closed.
+	// Prevents the HTTP client from resending the request on a closed connection.
 	req.GetBody = nil
 	req.Header.Set(node.HeaderRequestID, a.id)
 	req.Header.Set(node.HeaderRemaining, strconv.FormatInt(callerDeadline.Milliseconds(), 10))
@@ -153,7 +155,7 @@
 	resp, err := c.client.Do(req)
 	if err != nil {
 		var op *net.OpError
-		a.unsent = errors.As(err, &op) && op.Op == "dial"
+		a.notConnected = errors.As(err, &op) && op.Op == "dial"
 		return a
 	}
 	defer func() { _ = resp.Body.Close() }()
@@ -162,30 +164,30 @@
 		return a
 	}
 	a.status = resp.StatusCode
-	a.notRun = resp.Header.Get(node.HeaderRun) == "no"
+	a.notExecuted = resp.Header.Get(node.HeaderRun) == "no"
 	if a.status == http.StatusOK {
-		a.wrong = wrongAnswer(string(body), a.id, s.body)
+		a.responseError = validateResponse(string(body), a.id, s.bodyBytes)
 		return a
 	}
 	var p node.Problem
 	if json.Unmarshal(body, &p) == nil {
-		a.reason = p.Reason
+		a.refusalReason = p.Reason
 	}
 	return a
 }
 
-// wrongAnswer compares a success with what the stand-in answers: the id, the
-// size of the body that it received, and filling.
-func wrongAnswer(body, id string, size int) string {
+// validateResponse compares a successful response with that of a stand-in: the request
+// id, the size of the request body, and padding. It returns "" or the difference.
+func validateResponse(body, id string, size int) string {
 	want := fmt.Sprintf("%s %d\n", id, size)
-	if !strings.HasPrefix(body, want) || len(body) != answerBytes {
-		return fmt.Sprintf("answer of %d bytes begins %.60q, expected %q and %d bytes", len(body), body, want, answerBytes)
+	if !strings.HasPrefix(body, want) || len(body) != responseBytes {
+		return fmt.Sprintf("response of %d bytes begins with %.60q, expected %q and %d bytes", len(body), body, want, responseBytes)
 	}
 	return ""
 }
 
-// taken returns the attempts until now.
-func (c *callers) taken() []attempt {
+// recordedAttempts returns a copy of the attempts so far.
+func (c *callers) recordedAttempts() []attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]attempt(nil), c.attempts...)
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -11,26 +11,26 @@
 	"github.com/umberthread/umberthread/internal/node"
 )
 
-// checkAll checks the promises once the fleet has recovered.
-func (r *run) checkAll() {
-	runs := r.executions()
-	for _, a := range r.callers.taken() {
+// checkPromises checks the promises after the load has ended.
+func (r *soakRun) checkPromises() {
+	runs := r.executionsByRequest()
+	for _, a := range r.callers.recordedAttempts() {
 		r.checkAttempt(a, runs[a.id])
 	}
-	r.checkOnce(runs)
-	r.checkStops(runs)
+	r.checkAtMostOnce(runs)
+	r.checkPlannedStops(runs)
 	r.checkDrains()
 	r.checkSettings()
 	for _, m := range r.fleet.members {
 		if m.Wait(0) {
-			r.broke("exit", "node %s has ended by itself, with %d", m.Name, m.Exit())
+			r.reportViolation("exit", "node %s exited unexpectedly with code %d", m.Name, m.Exit())
 		}
 	}
 }
 
-// executions counts how often requests were executed by the backend servers of
-// the service that they were sent to.
-func (r *run) executions() map[string]int {
+// executionsByRequest returns the number of executions by request id, over all backend
+// servers of the front service.
+func (r *soakRun) executionsByRequest() map[string]int {
 	out := map[string]int{}
 	for _, m := range r.fleet.members {
 		for _, s := range m.servers {
@@ -45,84 +45,84 @@
 	return out
 }
 
-// checkAttempt checks that an answer is whole and the caller's own, that a
-// served request was executed, and that one refused as not run never was.
-func (r *run) checkAttempt(a attempt, runs int) {
-	target := sorts[a.sort].target
-	if a.wrong != "" {
-		r.broke("whole answer", "%s %s: %s", target, a.id, a.wrong)
+// checkAttempt checks that a response is complete and belongs to the caller, that a
+// served request was executed, and that one reported as not executed was not.
+func (r *soakRun) checkAttempt(a attempt, runs int) {
+	target := requestTypes[a.requestType].target
+	if a.responseError != "" {
+		r.reportViolation("whole answer", "%s %s: %s", target, a.id, a.responseError)
 	}
 	if a.status == http.StatusOK && runs == 0 {
-		r.broke("whole answer", "%s %s was answered and never executed", target, a.id)
+		r.reportViolation("whole answer", "%s %s succeeded without an execution", target, a.id)
 	}
-	// The attempts of a request with a key share its id.
-	if a.notRun && runs > 0 && !sorts[a.sort].keyed {
-		r.broke("honest refusal", "%s %s was refused as not run with %d, and was executed", target, a.id, a.status)
+	// Attempts with a key share a request id, so another one may have been executed.
+	if a.notExecuted && runs > 0 && !requestTypes[a.requestType].keyed {
+		r.reportViolation("honest refusal", "%s %s was reported as not executed with status %d, but was executed", target, a.id, a.status)
 	}
 }
 
-// checkOnce checks that what may be executed once was not executed twice.
-func (r *run) checkOnce(runs map[string]int) {
+// checkAtMostOnce checks that non-idempotent requests were executed at most once.
+func (r *soakRun) checkAtMostOnce(runs map[string]int) {
 	seen := map[string]bool{}
-	for _, a := range r.callers.taken() {
-		if !sorts[a.sort].repeatable && runs[a.id] > 1 && !seen[a.id] {
+	for _, a := range r.callers.recordedAttempts() {
+		if !requestTypes[a.requestType].idempotent && runs[a.id] > 1 && !seen[a.id] {
 			seen[a.id] = true
-			r.broke("at most once", "%s %s was executed %d times", sorts[a.sort].target, a.id, runs[a.id])
+			r.reportViolation("at most once", "%s %s was executed %d times", requestTypes[a.requestType].target, a.id, runs[a.id])
 		}
 	}
 }
 
 const (
-	// calmBefore and calmAfter are kept free of other steps round a planned
-	// stop for it to be judged.
-	calmBefore = 4 * time.Second
-	calmAfter  = time.Second
+	// A planned stop is checked only without other steps from undisturbedBefore its
+	// start to undisturbedAfter its end.
+	undisturbedBefore = 4 * time.Second
+	undisturbedAfter  = time.Second
 )
 
-// checkStops checks that a planned stop on a calm fleet cuts no request that
-// its node has passed on.
-func (r *run) checkStops(runs map[string]int) {
-	for _, sp := range r.spells {
-		if sp.Kind != Term || !r.calm(sp) {
+// checkPlannedStops checks that a planned stop of an undisturbed fleet interrupts no
+// request that a backend server executed.
+func (r *soakRun) checkPlannedStops(runs map[string]int) {
+	for _, sp := range r.executedSteps {
+		if sp.Kind != StopProcess || !r.isUndisturbed(sp) {
 			continue
 		}
-		for _, a := range r.callers.taken() {
-			cut := a.status == 0 && !a.unsent && a.entry == sp.Target && a.ended.Sub(a.sent) < callerDeadline
-			if cut && a.sent.After(sp.began) && a.ended.Before(sp.ended) && runs[a.id] > 0 {
-				r.broke("planned stop", "%s %s was cut %s after its node was told to stop", sorts[a.sort].target, a.id, a.ended.Sub(sp.began))
+		for _, a := range r.callers.recordedAttempts() {
+			cut := a.status == 0 && !a.notConnected && a.entryNode == sp.Target && a.endedAt.Sub(a.sentAt) < callerDeadline
+			if cut && a.sentAt.After(sp.startedAt) && a.endedAt.Before(sp.endedAt) && runs[a.id] > 0 {
+				r.reportViolation("planned stop", "%s %s was interrupted %s after its node was told to stop", requestTypes[a.requestType].target, a.id, a.endedAt.Sub(sp.startedAt))
 			}
 		}
 	}
 }
 
-// calm tells whether no other step disturbed a node around a spell.
-func (r *run) calm(sp *spell) bool {
-	for _, o := range r.spells {
-		if o == sp || o.Kind.harmless() {
+// isUndisturbed reports whether no other step disturbed any node around a step.
+func (r *soakRun) isUndisturbed(sp *executedStep) bool {
+	for _, o := range r.executedSteps {
+		if o == sp || o.Kind.disturbsNothing() {
 			continue
 		}
-		if o.ended.After(sp.began.Add(-calmBefore)) && o.began.Before(sp.ended.Add(calmAfter)) {
+		if o.endedAt.After(sp.startedAt.Add(-undisturbedBefore)) && o.startedAt.Before(sp.endedAt.Add(undisturbedAfter)) {
 			return false
 		}
 	}
 	return true
 }
 
-// checkDrains checks that a draining backend server gets no new work, where its
-// node heard of it.
-func (r *run) checkDrains() {
-	for _, sp := range r.spells {
-		if sp.Kind == ServerDrain && sp.drained && sp.startedAfter > 0 && r.alone(sp) {
-			r.broke("drain", "the backend server of node %d got %d requests later than %s after it said that it drains", sp.Target+1, sp.startedAfter, drainNotice)
+// checkDrains checks that a draining backend server receives no requests after the
+// grace period.
+func (r *soakRun) checkDrains() {
+	for _, sp := range r.executedSteps {
+		if sp.Kind == ServerDrain && sp.drainEffective && sp.executionsAfterDrain > 0 && r.isOnlyStepOnNode(sp) {
+			r.reportViolation("drain", "the backend server of node %d received %d requests later than %s after it announced its drain", sp.Target+1, sp.executionsAfterDrain, drainGracePeriod)
 		}
 	}
 }
 
-// alone tells whether no other step had the same node as its target while the
-// spell lasted.
-func (r *run) alone(sp *spell) bool {
-	for _, o := range r.spells {
-		if o != sp && o.Target == sp.Target && o.Kind != Change && o.Kind != Race && o.ended.After(sp.began) && o.began.Before(sp.ended) {
+// isOnlyStepOnNode reports whether no other step, settings changes aside, overlapped
+// with this one on the same node.
+func (r *soakRun) isOnlyStepOnNode(sp *executedStep) bool {
+	for _, o := range r.executedSteps {
+		if o != sp && o.Target == sp.Target && o.Kind != ChangeSettings && o.Kind != ConflictingChanges && o.endedAt.After(sp.startedAt) && o.startedAt.Before(sp.endedAt) {
 			return false
 		}
 	}
@@ -130,14 +130,15 @@
 }
 
 const (
-	// versionsEvery is how often nodes are asked for their version.
-	versionsEvery = 250 * time.Millisecond
-	// settled bounds the time until all nodes have the newest settings.
-	settled = 9 * time.Second
+	// versionPollInterval is the time between two queries of the nodes' versions.
+	versionPollInterval = 250 * time.Millisecond
+	// settingsTimeout bounds the time until all nodes have the newest settings.
+	settingsTimeout = 9 * time.Second
 )
 
-// watchVersions checks that no process goes back to an older version.
-func (r *run) watchVersions(ctx context.Context) {
+// watchVersions checks until the context ends that no process returns to an older
+// settings version.
+func (r *soakRun) watchVersions(ctx context.Context) {
 	type seen struct {
 		process string
 		version uint64
@@ -150,43 +151,43 @@
 				continue
 			}
 			if last[i].process == s.ID && s.Config < last[i].version {
-				r.broke("settings", "node %s went back from version %d to %d", s.Name, last[i].version, s.Config)
+				r.reportViolation("settings", "node %s returned from version %d to %d", s.Name, last[i].version, s.Config)
 			}
 			last[i] = seen{s.ID, s.Config}
 		}
-		time.Sleep(versionsEvery)
+		time.Sleep(versionPollInterval)
 	}
 }
 
-// checkSettings checks that what was accepted is in force on every node, and
-// that of two changes on the same version one was accepted at most.
-func (r *run) checkSettings() {
-	accepted := r.operators.accepted()
+// checkSettings checks that all accepted changes are active on every node, and that at
+// most one change was accepted for each base version.
+func (r *soakRun) checkSettings() {
+	accepted := r.operators.acceptedChanges()
 	newest := uint64(0)
 	on := map[uint64]string{}
 	for _, o := range accepted {
 		newest = max(newest, o.version)
-		if other, ok := on[o.base]; ok {
-			r.broke("settings", "changes %s and %s on version %d were both accepted", other, o.id, o.base)
+		if other, ok := on[o.baseVersion]; ok {
+			r.reportViolation("settings", "changes %s and %s on version %d were both accepted", other, o.id, o.baseVersion)
 		}
-		on[o.base] = o.id
+		on[o.baseVersion] = o.id
 	}
-	if err := r.fleet.AwaitVersion(newest, settled); err != nil {
-		r.broke("settings", "version %d is not in force everywhere %s after all is well: %v", newest, settled, err)
+	if err := r.fleet.AwaitVersion(newest, settingsTimeout); err != nil {
+		r.reportViolation("settings", "version %d is not active on every node %s after recovery: %v", newest, settingsTimeout, err)
 		return
 	}
 	for _, m := range r.fleet.members {
 		var d node.ConfigDocument
-		err := harness.Await(settled, func() error {
+		err := harness.Await(settingsTimeout, func() error {
 			return ctl.NewClient(m.Admin).Get("/v1/config", url.Values{"current": {"true"}}, &d)
 		})
 		if err != nil {
-			r.broke("settings", "node %s cannot read the settings: %v", m.Name, err)
+			r.reportViolation("settings", "node %s cannot read the settings: %v", m.Name, err)
 			continue
 		}
 		for _, o := range accepted {
 			if d.Entries[o.entry] != o.value {
-				r.broke("settings", "node %s lacks the accepted change %s (version %d)", m.Name, o.id, o.version)
+				r.reportViolation("settings", "node %s lacks the accepted change %s (version %d)", m.Name, o.id, o.version)
 			}
 		}
 	}
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,15 +1,15 @@
-// Package soak runs a small fleet of real node processes, disturbs it from
-// outside by a plan that follows from a seed, and checks what callers,
-// operators and backend servers see against the promises of docs/PROOFS.md.
+// Package soak runs a small fleet of real node processes, injects faults by a plan
+// derived from a seed, and checks what callers, operators and backend servers observe
+// against the promises of docs/PROOFS.md.
 //
-// Nodes are processes of their own. Each is reached by the others through
-// relays on the loopback interface, which cut, silence, delay and reset its
-// connections; signals pause, stop and kill it; its folder is wiped, its log ends
-// in a torn record, or another node takes its place at other addresses. The backend servers are stand-ins in this process, so
-// that what they ran is known whatever happens to them.
+// The other nodes reach each node through relays on the loopback interface, which cut,
+// silence, delay and reset its connections. Signals pause, stop and kill its process;
+// its data folder is wiped, its log is left with a torn record, or a new node replaces
+// it at other addresses. The backend servers are stand-ins in this process, so that
+// their executions are known after any fault.
 //
-// A plan depends on nothing but its seed, so a seed that failed once can be
-// played again, though real time makes two runs of it differ.
+// A plan depends only on its seed, so a failed seed can be run again; the timing of two
+// runs still differs.
 //
-//	report, err := soak.Run(soak.Options{Bin: "bin", Seed: 7, Span: 20 * time.Second})
+//	report, err := soak.Run(soak.Options{Bin: "bin", Seed: 7, Duration: 20 * time.Second})
 package soak
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -18,19 +18,19 @@
 const (
 	frontService = "soak/front"
 	deepService  = "soak/deep"
-	// answerBytes is the size of each answer.
-	answerBytes = 600
-	slots       = 24
-	// replicas is how many nodes have a disk: one may be lost.
+	// responseBytes is the size of each response.
+	responseBytes = 600
+	serverSlots   = 24
+	// replicas is the number of nodes with a disk; one loss is tolerated.
 	replicas = 3
-	// stopTimeout bounds a planned stop.
+	// stopTimeout is the nodes' limit for a graceful stop.
 	stopTimeout = 6 * time.Second
-	// stopSlack is how much longer than that a process may be there.
-	stopSlack = 2 * time.Second
+	// stopGrace is the additional time until a process must have exited.
+	stopGrace = 2 * time.Second
 )
 
-// tree are the settings at the start.
-const tree = `
+// initialSettings are the settings at the start, in TOML.
+const initialSettings = `
 [default]
 deadline = "3s"
 [fleet.soak.service.front.kind.read]
@@ -45,41 +45,43 @@
 `
 
 var frontKinds = map[string]standin.Kind{
-	"read": {Time: 5 * time.Millisecond, Calls: []string{"soak/deep/look", "soak/deep/look"}, Answer: answerBytes},
-	"note": {Time: 15 * time.Millisecond, Answer: answerBytes},
-	"book": {Time: 15 * time.Millisecond, Answer: answerBytes},
+	"read": {Time: 5 * time.Millisecond, Calls: []string{"soak/deep/look", "soak/deep/look"}, Answer: responseBytes},
+	"note": {Time: 15 * time.Millisecond, Answer: responseBytes},
+	"book": {Time: 15 * time.Millisecond, Answer: responseBytes},
 }
 
-var deepKinds = map[string]standin.Kind{"look": {Time: 4 * time.Millisecond, Answer: answerBytes}}
+var deepKinds = map[string]standin.Kind{"look": {Time: 4 * time.Millisecond, Answer: responseBytes}}
 
-// member is a node, the relays before it and the backend server beside it.
+// member is a node with its relays and its local backend.
 type member struct {
 	*harness.Node
-	// relayMu guards relays, which are others once the node has moved.
+	// relayMu guards relays, which are replaced when the node moves.
 	relayMu sync.Mutex
 	relays  []*relay.Relay
-	// servers are the stand-ins that stood beside the node, the last one now.
+	// servers are all stand-ins started beside the node; the last one is current.
 	servers []*standin.Server
 	options standin.Options
 
-	// stallMu is held while the disk stalls: as long as syncHold, a file, exists.
-	stallMu  sync.Mutex
-	syncHold string
+	// stallMu is held while the disk stalls, which it does while syncHoldFile exists.
+	stallMu      sync.Mutex
+	syncHoldFile string
 
-	// mu is held while the process is ended or started.
+	// mu is held while the process or the backend server is stopped or started.
 	mu sync.Mutex
-	// starts counts the starts of the process.
-	starts int
+	// processStarts counts the starts of the process.
+	processStarts int
 }
 
-// fleet is the nodes of a run: one with a disk and some without in each of
-// three failure domains.
+// fleet holds the nodes of a run, spread over three failure domains with one disk
+// each.
 type fleet struct {
 	*harness.Fleet
-	members  []*member
-	poisoned poisoned
+	members []*member
+	poison  poisonExecutions
 }
 
+// startFleet starts the nodes, forms the fleet, applies the initial settings and starts the
+// backend servers. On an error it returns the partial fleet for cleanup.
 func startFleet(bin string, nodes int) (*fleet, error) {
 	h, err := harness.New(bin)
 	if err != nil {
@@ -87,7 +89,7 @@
 	}
 	f := &fleet{Fleet: h}
 	for i := range nodes {
-		if err := f.add(i); err != nil {
+		if err := f.addNode(i); err != nil {
 			return f, err
 		}
 	}
@@ -97,32 +99,33 @@
 	if err := f.awaitVoters(); err != nil {
 		return f, err
 	}
-	if _, err := f.Configure(f.members[0].Node, tree, nil); err != nil {
+	if _, err := f.Configure(f.members[0].Node, initialSettings, nil); err != nil {
 		return f, err
 	}
 	for i, m := range f.members {
-		if err := m.startServer(i, f.poisoned.endsOn); err != nil {
+		if err := m.startServer(i, f.poison.crashOn); err != nil {
 			return f, err
 		}
 	}
 	return f, nil
 }
 
-// add starts the node with an index.
-func (f *fleet) add(i int) error {
-	m := &member{starts: 1, syncHold: filepath.Join(f.Dir, fmt.Sprintf("hold-%d", i+1))}
+// addNode starts the node with index i.
+func (f *fleet) addNode(i int) error {
+	m := &member{processStarts: 1, syncHoldFile: filepath.Join(f.Dir, fmt.Sprintf("hold-%d", i+1))}
 	f.members = append(f.members, m)
 	domain := fmt.Sprintf("d%d", i%replicas+1)
 	n, err := f.StartNode(harness.NodeSpec{
-		Domain: domain, Disk: i < replicas, Advertise: m.advertise,
-		Extra: []string{"replicas = 3", "min_voters = 2", `replace_after = "4s"`, fmt.Sprintf("stop_timeout = %q", stopTimeout), fmt.Sprintf("sync_hold = %q", m.syncHold)},
+		Domain: domain, Disk: i < replicas, Advertise: m.startRelays,
+		Extra: []string{"replicas = 3", "min_voters = 2", `replace_after = "4s"`, fmt.Sprintf("stop_timeout = %q", stopTimeout), fmt.Sprintf("sync_hold = %q", m.syncHoldFile)},
 	})
 	m.Node = n
 	return err
 }
 
-// advertise puts relays before the node's addresses.
-func (m *member) advertise(data, control string) ([]string, error) {
+// startRelays replaces the relays of the node and returns the settings lines that
+// advertise their addresses.
+func (m *member) startRelays(data, control string) ([]string, error) {
 	m.relayMu.Lock()
 	defer m.relayMu.Unlock()
 	for _, r := range m.relays {
@@ -145,20 +148,21 @@
 	return lines, nil
 }
 
-// startServer starts the backend server beside the node: every other one is of
-// the second service.
+// startServer starts the backend server beside node i. The service alternates
+// between groups of one node per failure domain.
 func (m *member) startServer(i int, endsOn func(path string, body []byte) bool) error {
 	m.options = standin.Options{
-		Service: frontService, Listen: "127.0.0.1:0", Node: m.HTTP, Slots: slots, Connections: 4 * slots,
+		Service: frontService, Listen: "127.0.0.1:0", Node: m.HTTP, Slots: serverSlots, Connections: 4 * serverSlots,
 		Kinds: frontKinds, Renew: 300 * time.Millisecond, EndsOn: endsOn,
 	}
 	if i/replicas%2 == 1 {
 		m.options.Service, m.options.Kinds = deepService, deepKinds
 	}
-	return m.restartServer()
+	return m.launchServer()
 }
 
-func (m *member) restartServer() error {
+// launchServer starts a stand-in with the member's options and makes it current.
+func (m *member) launchServer() error {
 	s, err := standin.Start(m.options)
 	if err != nil {
 		return err
@@ -167,8 +171,10 @@
 	return nil
 }
 
-func (m *member) server() *standin.Server { return m.servers[len(m.servers)-1] }
+// currentServer returns the stand-in started last.
+func (m *member) currentServer() *standin.Server { return m.servers[len(m.servers)-1] }
 
+// awaitVoters waits until every replica group has all replicas as voters.
 func (f *fleet) awaitVoters() error {
 	return harness.Await(30*time.Second, func() error {
 		s, err := f.members[0].Status()
@@ -177,19 +183,19 @@
 		}
 		for _, g := range s.Replica.Groups {
 			if len(g.Voters) != replicas {
-				return fault.Newf(fault.NoQuorum, "%d replicas have a vote", len(g.Voters))
+				return fault.Newf(fault.NoQuorum, "a group has %d voters", len(g.Voters))
 			}
 		}
 		return nil
 	})
 }
 
-// stopAll ends everything that the run started.
+// stopAll kills the nodes and stops the stand-ins and relays.
 func (f *fleet) stopAll() {
 	for _, m := range f.members {
 		if m.Node != nil && m.Proc != nil {
 			m.Signal(syscall.SIGKILL)
-			m.Wait(stopSlack)
+			m.Wait(stopGrace)
 		}
 		for _, s := range m.servers {
 			s.Stop()
@@ -200,9 +206,9 @@
 	}
 }
 
-// tear appends the beginning of a record to the logs of a node that was killed:
-// what a loss of power may leave of a write that was not synced.
-func (m *member) tear() error {
+// tearLogs appends an incomplete record to the logs of a killed node, as a loss of
+// power during a write may leave it.
+func (m *member) tearLogs() error {
 	logs, err := filepath.Glob(filepath.Join(m.Folder, "group-*", "log"))
 	if err != nil {
 		return fault.Wrap(fault.Internal, err, "cannot list the logs")
@@ -212,7 +218,7 @@
 		if err != nil {
 			return fault.Wrap(fault.Internal, err, "cannot open a log")
 		}
-		// A length and a part of a checksum.
+		// A length and part of a checksum.
 		_, err = file.Write([]byte{0, 1, 0, 0, 0xca, 0xfe})
 		if cerr := file.Close(); err == nil {
 			err = cerr
--- a/internal/soak/operator.go
+++ b/internal/soak/operator.go
@@ -15,54 +15,58 @@
 )
 
 const (
-	// orderWait bounds how long an operator sends an order again.
-	orderWait  = 12 * time.Second
-	orderPause = 100 * time.Millisecond
+	// changeTimeout bounds the time during which a change is resent.
+	changeTimeout    = 12 * time.Second
+	changeRetryDelay = 100 * time.Millisecond
 )
 
-// order is a change of the settings that an operator has sent.
-type order struct {
-	id   string
-	base uint64
-	// entry is the entry of the tree that it sets, and value its value.
+// settingsChange is a change that an operator has submitted.
+type settingsChange struct {
+	id          string
+	baseVersion uint64
+	// entry is the settings entry that it sets, value the new value.
 	entry, value string
-	// version is the one that it was accepted as, 0 if it was not, or if no
-	// clear answer came.
-	version uint64
-	at      time.Time
+	// version is the version that it created, 0 if it was rejected or the outcome
+	// is unknown.
+	version    uint64
+	acceptedAt time.Time
 }
 
-// operators send orders to any node and remember what became of them.
+// operators submits settings changes through the nodes and records the outcomes.
 type operators struct {
-	admins []string
+	adminAddresses []string
 
-	mu     sync.Mutex
-	orders []order
-	next   int
+	mu         sync.Mutex
+	changes    []settingsChange
+	lastChange int
 }
 
-// change makes one change on the newest version.
-func (o *operators) change(entry int) { o.send(o.base(entry), entry) }
+// changeSettings submits one change based on the newest version.
+func (o *operators) changeSettings(nodeIndex int) {
+	o.submitChange(o.newestVersion(nodeIndex), nodeIndex)
+}
 
-// race makes two changes on the same version, through two nodes.
-func (o *operators) race(entry int) {
-	base := o.base(entry)
+// submitConflictingChanges submits two changes based on the same version concurrently,
+// through two nodes.
+func (o *operators) submitConflictingChanges(nodeIndex int) {
+	base := o.newestVersion(nodeIndex)
 	var wg sync.WaitGroup
 	for i := range 2 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			o.send(base, (entry+i)%len(o.admins))
+			o.submitChange(base, (nodeIndex+i)%len(o.adminAddresses))
 		}()
 	}
 	wg.Wait()
 }
 
-// base returns the newest version that a node knows; 0 if none answers.
-func (o *operators) base(entry int) uint64 {
-	for i := range o.admins {
+// newestVersion returns the current settings version from the first node that
+// responds, or 0.
+func (o *operators) newestVersion(nodeIndex int) uint64 {
+	for i := range o.adminAddresses {
 		var d node.ConfigDocument
-		c := ctl.NewClient(o.admins[(entry+i)%len(o.admins)])
+		c := ctl.NewClient(o.adminAddresses[(nodeIndex+i)%len(o.adminAddresses)])
 		if c.Get("/v1/config", url.Values{"current": {"true"}}, &d) == nil {
 			return d.Version
 		}
@@ -70,40 +74,40 @@
 	return 0
 }
 
-// send sends an order until it has a clear answer: accepted, or another change
-// stands on the same version.
-func (o *operators) send(base uint64, entry int) {
+// submitChange resends a change until it is accepted, conflicts with another one or
+// times out.
+func (o *operators) submitChange(base uint64, nodeIndex int) {
 	o.mu.Lock()
-	o.next++
-	ord := order{id: uuid.NewString(), base: base, entry: fmt.Sprintf("soak/extra-%d#deadline", o.next), value: fmt.Sprintf("%dms", 1000+o.next)}
+	o.lastChange++
+	change := settingsChange{id: uuid.NewString(), baseVersion: base, entry: fmt.Sprintf("soak/extra-%d#deadline", o.lastChange), value: fmt.Sprintf("%dms", 1000+o.lastChange)}
 	o.mu.Unlock()
-	req := node.ChangeRequest{ID: ord.id, Base: base, Set: settings.Entries{ord.entry: ord.value}, Author: "soak"}
-	for until := time.Now().Add(orderWait); time.Now().Before(until); {
+	req := node.ChangeRequest{ID: change.id, Base: base, Set: settings.Entries{change.entry: change.value}, Author: "soak"}
+	for until := time.Now().Add(changeTimeout); time.Now().Before(until); {
 		var res node.ChangeResult
-		err := ctl.NewClient(o.admins[entry%len(o.admins)]).Post("/v1/config", req, &res)
+		err := ctl.NewClient(o.adminAddresses[nodeIndex%len(o.adminAddresses)]).Post("/v1/config", req, &res)
 		if err == nil && res.Version > 0 {
-			ord.version, ord.at = res.Version, time.Now()
+			change.version, change.acceptedAt = res.Version, time.Now()
 			break
 		}
 		if err == nil || fault.CodeOf(err) == fault.Conflict {
 			break
 		}
-		entry++
-		time.Sleep(orderPause)
+		nodeIndex++
+		time.Sleep(changeRetryDelay)
 	}
 	o.mu.Lock()
-	o.orders = append(o.orders, ord)
+	o.changes = append(o.changes, change)
 	o.mu.Unlock()
 }
 
-// accepted returns the orders that were accepted.
-func (o *operators) accepted() []order {
+// acceptedChanges returns the changes that were accepted.
+func (o *operators) acceptedChanges() []settingsChange {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	var out []order
-	for _, ord := range o.orders {
-		if ord.version > 0 {
-			out = append(out, ord)
+	var out []settingsChange
+	for _, change := range o.changes {
+		if change.version > 0 {
+			out = append(out, change)
 		}
 	}
 	return out
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -7,126 +7,127 @@
 	"time"
 )
 
-// Kind is what a step does.
+// StepKind is the kind of a step.
 type StepKind string
 
-// The kinds of steps. The first group acts on the process of a node.
+// Kinds of steps. The first group acts on the process of a node.
 const (
-	Freeze StepKind = "freeze" // SIGSTOP, and SIGCONT later
-	Kill   StepKind = "kill"   // SIGKILL, and a start later
-	Term   StepKind = "term"   // SIGTERM, and a start later
-	Wipe   StepKind = "wipe"   // SIGKILL, the folder is lost, and a start later
-	Torn   StepKind = "torn"   // SIGKILL, the log ends in half a record, and a start later
-	// Replace is SIGKILL for good; another comes later, empty and at other addresses.
-	Replace StepKind = "replace"
-
-	CutThere StepKind = "cut-there" // nothing reaches the node
-	CutBack  StepKind = "cut-back"  // nothing of the node's answers gets out
-	CutBoth  StepKind = "cut-both"
-	Silence  StepKind = "silence" // connections that are open go silent for good
-	Reset    StepKind = "reset"   // connections that are open are closed
-	Delay    StepKind = "delay"   // what is sent to the node comes late
-
-	ServerLost  StepKind = "server-lost" // a backend server ends without a word
-	ServerDrain StepKind = "server-drain"
-	ServerSlow  StepKind = "server-slow"
-	ServerFail  StepKind = "server-fail" // it fails half of the requests
-
-	Stall StepKind = "stall" // syncs of a replica's disk do not return
-
-	Change StepKind = "change" // an operator changes the settings
-	Race   StepKind = "race"   // two do so at once, on the same version
+	PauseProcess StepKind = "freeze" // SIGSTOP, SIGCONT at the end
+	KillProcess  StepKind = "kill"   // SIGKILL and a later start
+	StopProcess  StepKind = "term"   // SIGTERM and a later start
+	WipeDisk     StepKind = "wipe"   // SIGKILL, removal of the data folder and a later start
+	TearLog      StepKind = "torn"   // SIGKILL, an incomplete record at the end of the log and a later start
+	// ReplaceNode sends SIGKILL; an empty node starts later at other addresses.
+	ReplaceNode StepKind = "replace"
+
+	CutInbound         StepKind = "cut-there" // drops traffic to the node
+	CutOutbound        StepKind = "cut-back"  // drops traffic from the node
+	CutBoth            StepKind = "cut-both"
+	SilenceConnections StepKind = "silence" // open connections deliver nothing more
+	ResetConnections   StepKind = "reset"   // open connections are closed
+	DelayTraffic       StepKind = "delay"   // delays traffic through the relays
+
+	ServerCrash    StepKind = "server-lost" // a backend server stops without draining
+	ServerDrain    StepKind = "server-drain"
+	ServerSlowdown StepKind = "server-slow"
+	ServerErrors   StepKind = "server-fail" // half of the requests fail
+
+	StallDisk StepKind = "stall" // syncs of a replica's disk block
+
+	ChangeSettings     StepKind = "change" // one settings change
+	ConflictingChanges StepKind = "race"   // two concurrent settings changes based on the same version
 )
 
-// kinds are the kinds that a plan draws from; one that stands twice comes twice
-// as often.
-var kinds = []StepKind{
-	Freeze, Kill, Term, Term, Wipe, Replace, Torn, CutThere, CutBack, CutBoth, Silence, Reset, Delay,
-	ServerLost, ServerDrain, ServerSlow, ServerFail, Change, Change, Race,
+// plannableKinds are the kinds that a plan draws from; duplicates raise the
+// probability of a kind.
+var plannableKinds = []StepKind{
+	PauseProcess, KillProcess, StopProcess, StopProcess, WipeDisk, ReplaceNode, TearLog, CutInbound, CutOutbound, CutBoth, SilenceConnections, ResetConnections, DelayTraffic,
+	ServerCrash, ServerDrain, ServerSlowdown, ServerErrors, ChangeSettings, ChangeSettings, ConflictingChanges,
 }
 
-// takesDisk tells whether the kind costs a replica its disk.
-func (k StepKind) takesDisk() bool { return k == Wipe || k == Replace }
+// losesDisk reports whether the kind destroys the data of a replica.
+func (k StepKind) losesDisk() bool { return k == WipeDisk || k == ReplaceNode }
 
-// needsDisk tells whether the kind is for nodes with a disk.
-func (k StepKind) needsDisk() bool { return k.takesDisk() || k == Torn || k == Stall }
+// requiresDisk reports whether the kind applies only to nodes with a disk.
+func (k StepKind) requiresDisk() bool { return k.losesDisk() || k == TearLog || k == StallDisk }
 
-// stopsProcess tells whether the kind ends the process of a node.
+// stopsProcess reports whether the kind ends the process of a node.
 func (k StepKind) stopsProcess() bool {
-	return k == Kill || k == Term || k.takesDisk() || k == Torn
+	return k == KillProcess || k == StopProcess || k.losesDisk() || k == TearLog
 }
 
-// harmless tells whether the kind disturbs no node.
-func (k StepKind) harmless() bool { return k == Change || k == Race || k == Term }
+// disturbsNothing reports whether the kind leaves the other nodes undisturbed.
+func (k StepKind) disturbsNothing() bool {
+	return k == ChangeSettings || k == ConflictingChanges || k == StopProcess
+}
 
-// Failure is a run that once broke a promise, kept to be played again.
-type Failure struct {
+// KnownFailure is a run that once violated a promise, kept as a regression test.
+type KnownFailure struct {
 	Seed     uint64
 	Duration time.Duration
-	// Stalls tells whether disks stalled.
+	// DiskStalls reports whether disks stalled.
 	DiskStalls bool
 	Cause      string
 }
 
-// stalled is a cause that shows only where syncs take 0.5 s and more.
-const stalled = "groups lost their leader again and again while disks stalled"
-
-// Failures are the runs that broke a promise of the product, with the cause. A test
-// without the soak brings each cause about as well.
-var KnownFailures = []Failure{
-	{8105, 25 * time.Second, false, "a replica that answered at two addresses was moved to and fro, and no lost disk replaced"},
-	{8240, 30 * time.Second, true, stalled},
-	{8302, 30 * time.Second, true, stalled},
-	{8308, 30 * time.Second, true, stalled},
-	{8309, 30 * time.Second, true, stalled},
+// causeStalledDisk occurs only if syncs take 0.5 s or more.
+const causeStalledDisk = "groups lost their leader repeatedly while disks stalled"
+
+// KnownFailures are the runs that violated a promise, with the cause. Each cause also
+// has a test outside this package.
+var KnownFailures = []KnownFailure{
+	{8105, 25 * time.Second, false, "a replica that responded at two addresses was moved back and forth, and no lost disk was replaced"},
+	{8240, 30 * time.Second, true, causeStalledDisk},
+	{8302, 30 * time.Second, true, causeStalledDisk},
+	{8308, 30 * time.Second, true, causeStalledDisk},
+	{8309, 30 * time.Second, true, causeStalledDisk},
 }
 
-// Step is one injected fault, or one planned act of an operator.
+// Step is an injected fault or an operator's change.
 type Step struct {
 	At   time.Duration
 	Kind StepKind
 	// Target is the index of the node, or of the backend server beside it.
 	Target int
-	// For is how long it lasts: until the process is started again, for those
-	// that end one.
+	// For is the duration of the step; for kinds that stop a process, the time
+	// until it is started again.
 	For time.Duration
 }
 
-// String describes the step.
+// String returns the start, kind, node and duration of the step.
 func (s Step) String() string {
 	return fmt.Sprintf("%6.2fs %s node %d for %s", s.At.Seconds(), s.Kind, s.Target+1, s.For.Round(10*time.Millisecond))
 }
 
 const (
-	// quietStart is the time before the first step: a few seconds of traffic.
-	quietStart = 2 * time.Second
-	// stepEvery is the mean time between steps, so that they overlap.
-	stepEvery = 900 * time.Millisecond
-	// shortest and longest bound how long a step lasts.
-	shortest = 200 * time.Millisecond
-	longest  = 3 * time.Second
-	// seriesShare is the share of steps that come in a series, and seriesMost
-	// how many nodes it takes, one after the other.
-	seriesShare = 0.25
-	seriesMost  = 4
-	// repairTime is kept between two lost disks: the group bears one at a time. It
-	// is a little more than a repair takes on a fleet that nothing else disturbs; a
-	// step that finds the group still under repair is left out.
-	repairTime = 6 * time.Second
+	// initialDelay is the time of undisturbed traffic before the first step.
+	initialDelay = 2 * time.Second
+	// meanStepInterval is short enough for steps to overlap.
+	meanStepInterval = 900 * time.Millisecond
+	// minStepDuration and maxStepDuration bound the duration of a step.
+	minStepDuration = 200 * time.Millisecond
+	maxStepDuration = 3 * time.Second
+	// seriesProbability is the probability that a step is repeated on subsequent
+	// nodes, maxSeriesLength the maximum number of nodes.
+	seriesProbability = 0.25
+	maxSeriesLength   = 4
+	// minDiskLossInterval is the minimum time between two lost disks, since a group
+	// tolerates one loss at a time. Steps during a longer repair are skipped.
+	minDiskLossInterval = 6 * time.Second
 )
 
-// Plan returns the steps for a seed: for so many nodes, of which the first
-// replicas have a disk, over a span.
+// Plan returns the steps for a seed, sorted by time. The first replicas nodes have a
+// disk; series may run past the span.
 func Plan(seed uint64, nodes, replicas int, span time.Duration) []Step {
 	r := rand.New(rand.NewPCG(seed, seed))
 	var steps []Step
-	for at := quietStart; at < span; at += time.Duration(r.ExpFloat64() * float64(stepEvery)) {
-		s := Step{At: at, Kind: kinds[r.IntN(len(kinds))], Target: r.IntN(nodes), For: shortest + time.Duration(r.Int64N(int64(longest-shortest)))}
+	for at := initialDelay; at < span; at += time.Duration(r.ExpFloat64() * float64(meanStepInterval)) {
+		s := Step{At: at, Kind: plannableKinds[r.IntN(len(plannableKinds))], Target: r.IntN(nodes), For: minStepDuration + time.Duration(r.Int64N(int64(maxStepDuration-minStepDuration)))}
 		length := 1
-		if r.Float64() < seriesShare {
-			length = 2 + r.IntN(seriesMost-1)
+		if r.Float64() < seriesProbability {
+			length = 2 + r.IntN(maxSeriesLength-1)
 		}
-		gap := time.Duration(r.Int64N(int64(longest / 2)))
+		gap := time.Duration(r.Int64N(int64(maxStepDuration / 2)))
 		for range length {
 			steps = append(steps, s)
 			s.Target = (s.Target + 1) % nodes
@@ -134,51 +135,51 @@
 		}
 	}
 	slices.SortStableFunc(steps, func(a, b Step) int { return int(a.At - b.At) })
-	return bearable(steps, replicas)
+	return removeUnsafeSteps(steps, replicas)
 }
 
 const (
-	// stallEvery is the mean time between two stalls, of any disk, and stallMost how
-	// long the longest lasts: one replica may be held silent for it, and is not replaced.
-	stallEvery = 3 * time.Second
-	stallMost  = 3500 * time.Millisecond
-	// stallLeast is longer than the time that a replica waits for a leader.
-	stallLeast = 500 * time.Millisecond
+	// meanStallInterval is the mean time between two stalls, of any disk, and
+	// maxStall the maximum duration, short enough that the replica is not replaced.
+	meanStallInterval = 3 * time.Second
+	maxStall          = 3500 * time.Millisecond
+	// minStall is longer than the election timeout.
+	minStall = 500 * time.Millisecond
 )
 
-// StallPlan returns the stalls of disks for a seed, apart from the other steps: these
-// are the same with stalls and without. Stalls of several disks overlap.
+// StallPlan returns the disk stalls for a seed, independently of Plan. Stalls of
+// several disks may overlap.
 func StallPlan(seed uint64, replicas int, span time.Duration) []Step {
-	r := rand.New(rand.NewPCG(seed, uint64(stallEvery)))
+	r := rand.New(rand.NewPCG(seed, uint64(meanStallInterval)))
 	var steps []Step
-	for at := quietStart; at < span; at += time.Duration(r.ExpFloat64() * float64(stallEvery)) {
-		steps = append(steps, Step{At: at, Kind: Stall, Target: r.IntN(replicas), For: stallLeast + time.Duration(r.Int64N(int64(stallMost-stallLeast)))})
+	for at := initialDelay; at < span; at += time.Duration(r.ExpFloat64() * float64(meanStallInterval)) {
+		steps = append(steps, Step{At: at, Kind: StallDisk, Target: r.IntN(replicas), For: minStall + time.Duration(r.Int64N(int64(maxStall-minStall)))})
 	}
 	return steps
 }
 
-// together returns the steps of two plans in the order of their times.
-func together(a, b []Step) []Step {
+// mergeSteps returns the steps of two plans sorted by time.
+func mergeSteps(a, b []Step) []Step {
 	all := slices.Concat(a, b)
 	slices.SortStableFunc(all, func(a, b Step) int { return int(a.At - b.At) })
 	return all
 }
 
-// bearable leaves out what would lose more disks than the replicas bear, and
-// puts what needs a disk on a node that has one.
-func bearable(steps []Step, replicas int) []Step {
-	lost := -repairTime
+// removeUnsafeSteps removes steps that require a disk on nodes without one, and disk
+// losses less than minDiskLossInterval after the previous one.
+func removeUnsafeSteps(steps []Step, replicas int) []Step {
+	lost := -minDiskLossInterval
 	return slices.DeleteFunc(steps, func(s Step) bool {
-		if !s.Kind.needsDisk() {
+		if !s.Kind.requiresDisk() {
 			return false
 		}
 		if s.Target >= replicas {
 			return true
 		}
-		if !s.Kind.takesDisk() {
+		if !s.Kind.losesDisk() {
 			return false
 		}
-		if s.At-lost < repairTime {
+		if s.At-lost < minDiskLossInterval {
 			return true
 		}
 		lost = s.At
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestPlanFollowsFromItsSeed, loses one disk at a time, and needs a disk only
-// where there is one.
-func TestPlanFollowsFromItsSeed(t *testing.T) {
+// Guards against plans that differ for the same seed, lose disks in too short a
+// succession, or require a disk on a node without one.
+func TestPlanIsDeterministicAndSafe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		span := time.Duration(rapid.IntRange(5, 60).Draw(t, "span")) * time.Second
@@ -20,18 +20,18 @@
 		if len(steps) != len(again) {
 			t.Fatalf("%d steps, then %d", len(steps), len(again))
 		}
-		last, lost := time.Duration(0), -repairTime
+		last, lost := time.Duration(0), -minDiskLossInterval
 		for i, s := range steps {
 			if s != again[i] || s.At < last || s.Target < 0 || s.Target >= 6 {
 				t.Fatalf("step %d: %v, then %v", i, s, again[i])
 			}
 			last = s.At
-			takesDisk := s.Kind == Wipe || s.Kind == Replace
-			if (takesDisk || s.Kind == Torn) && s.Target >= replicas {
+			takesDisk := s.Kind == WipeDisk || s.Kind == ReplaceNode
+			if (takesDisk || s.Kind == TearLog) && s.Target >= replicas {
 				t.Fatalf("%v needs a disk", s)
 			}
-			if takesDisk && s.At-lost < repairTime {
-				t.Fatalf("%v comes too soon after another", s)
+			if takesDisk && s.At-lost < minDiskLossInterval {
+				t.Fatalf("%v follows the previous disk loss too soon", s)
 			}
 			if takesDisk {
 				lost = s.At
@@ -40,76 +40,76 @@
 	})
 }
 
-// TestStallPlanFollowsFromItsSeed, names replicas alone, and leaves the other plan as it
-// is without stalls.
-func TestStallPlanFollowsFromItsSeed(t *testing.T) {
+// Guards against stall plans that differ for the same seed, stall nodes without a disk
+// or alter the other steps.
+func TestStallPlanIsDeterministicAndSeparate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		const span = 20 * time.Second
 		stalls := StallPlan(seed, replicas, span)
 		if !slices.Equal(stalls, StallPlan(seed, replicas, span)) {
-			t.Fatal("another plan for the same seed")
+			t.Fatal("stall plans for the same seed differ")
 		}
 		for _, s := range stalls {
-			if s.Kind != Stall || s.Target >= replicas || s.For < stallLeast || s.For > stallMost || s.At > span {
-				t.Fatalf("%v", s)
+			if s.Kind != StallDisk || s.Target >= replicas || s.For < minStall || s.For > maxStall || s.At > span {
+				t.Fatalf("invalid stall: %v", s)
 			}
 		}
 		steps := Plan(seed, 6, replicas, span)
-		others := slices.DeleteFunc(together(steps, stalls), func(s Step) bool { return s.Kind == Stall })
+		others := slices.DeleteFunc(mergeSteps(steps, stalls), func(s Step) bool { return s.Kind == StallDisk })
 		if !slices.Equal(others, steps) {
 			t.Fatal("the stalls change the other steps")
 		}
 	})
 }
 
-// TestChecksFindWhatIsBroken gives the checks what a broken fleet would show.
-func TestChecksFindWhatIsBroken(t *testing.T) {
+// Guards against checks that miss violations in a recorded run.
+func TestChecksReportViolations(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := &run{callers: newCallers(nil)}
+	r := &soakRun{callers: newCallers(nil)}
 	note := 1
 	stop := time.Now()
-	r.spells = []*spell{
-		{Step: Step{Kind: Term, Target: 2}, began: stop, ended: stop.Add(5 * time.Second)},
-		{Step: Step{Kind: ServerDrain, Target: 0}, began: stop.Add(time.Minute), ended: stop.Add(2 * time.Minute), drained: true, startedAfter: 3},
+	r.executedSteps = []*executedStep{
+		{Step: Step{Kind: StopProcess, Target: 2}, startedAt: stop, endedAt: stop.Add(5 * time.Second)},
+		{Step: Step{Kind: ServerDrain, Target: 0}, startedAt: stop.Add(time.Minute), endedAt: stop.Add(2 * time.Minute), drainEffective: true, executionsAfterDrain: 3},
 	}
 	r.callers.attempts = []attempt{
-		{id: "twice", sort: note, status: 200},
-		{id: "lie", sort: note, status: 503, notRun: true},
-		{id: "wrong", sort: note, status: 200, wrong: "another's answer"},
-		{id: "made up", sort: note, status: 200},
-		{id: "cut", sort: note, entry: 2, sent: stop.Add(time.Second), ended: stop.Add(2 * time.Second)},
+		{id: "twice", requestType: note, status: 200},
+		{id: "lie", requestType: note, status: 503, notExecuted: true},
+		{id: "wrong", requestType: note, status: 200, responseError: "another's answer"},
+		{id: "made up", requestType: note, status: 200},
+		{id: "cut", requestType: note, entryNode: 2, sentAt: stop.Add(time.Second), endedAt: stop.Add(2 * time.Second)},
 	}
 	runs := map[string]int{"twice": 2, "lie": 1, "wrong": 1, "cut": 1}
-	for _, a := range r.callers.taken() {
+	for _, a := range r.callers.recordedAttempts() {
 		r.checkAttempt(a, runs[a.id])
 	}
-	r.checkOnce(runs)
-	r.checkStops(runs)
+	r.checkAtMostOnce(runs)
+	r.checkPlannedStops(runs)
 	r.checkDrains()
 	found := map[string]int{}
-	for _, b := range r.broken {
+	for _, b := range r.violations {
 		found[b.Promise]++
 	}
 	g.Expect(found).To(gomega.Equal(map[string]int{"at most once": 1, "honest refusal": 1, "whole answer": 2, "planned stop": 1, "drain": 1}))
 }
 
-// A request with a key that fails while a disk stalls is found; the resend of one that was
-// cut before is not held against the stall.
-func TestKeyedRequestsAreJudgedByTheirFirstAttempt(t *testing.T) {
+// Guards against a missed failure of a request with a key during a stall, and against a
+// reported resend of a request first sent earlier.
+func TestCheckKeyedRequestsIgnoresEarlierFirstAttempts(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const book = 2
-	r := &run{callers: newCallers(nil)}
+	r := &soakRun{callers: newCallers(nil)}
 	began := time.Now()
 	r.callers.attempts = []attempt{
-		{id: "cut before", sort: book, sent: began.Add(-time.Second)},
-		{id: "cut before", sort: book, status: 409, sent: began.Add(time.Second)},
-		{id: "served", sort: book, status: 200, sent: began.Add(time.Second)},
-		{id: "later", sort: book, status: 503, sent: began.Add(time.Hour)},
+		{id: "cut before", requestType: book, sentAt: began.Add(-time.Second)},
+		{id: "cut before", requestType: book, status: 409, sentAt: began.Add(time.Second)},
+		{id: "served", requestType: book, status: 200, sentAt: began.Add(time.Second)},
+		{id: "later", requestType: book, status: 503, sentAt: began.Add(time.Hour)},
 	}
-	r.checkKeyed(began, began.Add(time.Minute))
-	g.Expect(r.broken).To(gomega.BeEmpty())
-	r.callers.attempts = append(r.callers.attempts, attempt{id: "refused", sort: book, status: 503, sent: began.Add(time.Second)})
-	r.checkKeyed(began, began.Add(time.Minute))
-	g.Expect(r.broken).To(gomega.HaveLen(1))
+	r.checkKeyedRequests(began, began.Add(time.Minute))
+	g.Expect(r.violations).To(gomega.BeEmpty())
+	r.callers.attempts = append(r.callers.attempts, attempt{id: "refused", requestType: book, status: 503, sentAt: began.Add(time.Second)})
+	r.checkKeyedRequests(began, began.Add(time.Minute))
+	g.Expect(r.violations).To(gomega.HaveLen(1))
 }
--- a/internal/soak/poison.go
+++ b/internal/soak/poison.go
@@ -10,121 +10,127 @@
 )
 
 const (
-	// poisonPath marks a request that ends each backend server that runs it.
+	// poisonPath is the path suffix of a request that crashes each backend server
+	// that executes it.
 	poisonPath = "/poison"
-	// poisonSpan is for how long it is sent, and poisonEvery how often.
-	poisonSpan  = 8 * time.Second
-	poisonEvery = 150 * time.Millisecond
-	// poisonAway is how long a backend server that ended stays away.
-	poisonAway = time.Second
-	// poisonKnown is when all nodes know of the third end, and poisonMore how often
-	// the request may be run from then on.
-	poisonKnown = 3 * time.Second
-	poisonMore  = 3
+	// The request is sent every poisonInterval for poisonDuration.
+	poisonDuration = 8 * time.Second
+	poisonInterval = 150 * time.Millisecond
+	// crashDowntime is the time until a crashed backend server is replaced.
+	crashDowntime = time.Second
+	// quarantineDelay is the time after the third crash until all nodes quarantine the
+	// request; maxLaterExecutions bounds its executions from then on.
+	quarantineDelay    = 3 * time.Second
+	maxLaterExecutions = 3
 )
 
-// poisonSort is the sort of request that is sent then.
-var poisonSort = sort{target: "soak/front/read" + poisonPath, repeatable: true}
+// poisonRequest is the type of the request that crashes backend servers.
+var poisonRequest = requestType{target: "soak/front/read" + poisonPath, idempotent: true}
 
-// poisoned notes when backend servers began to run the request that ends them.
-type poisoned struct {
-	mu   sync.Mutex
-	runs []time.Time
+// poisonExecutions records the times at which backend servers started to execute the
+// poison request.
+type poisonExecutions struct {
+	mu        sync.Mutex
+	startedAt []time.Time
 }
 
-// endsOn is standin.Options.EndsOn.
-func (p *poisoned) endsOn(path string, _ []byte) bool {
+// crashOn reports whether a request crashes its server and records the execution; it
+// is used as standin.Options.EndsOn.
+func (p *poisonExecutions) crashOn(path string, _ []byte) bool {
 	if !strings.HasSuffix(path, poisonPath) {
 		return false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.runs = append(p.runs, time.Now())
+	p.startedAt = append(p.startedAt, time.Now())
 	return true
 }
 
-// later returns how often the request was run once all nodes knew of it.
-func (p *poisoned) later() int {
+// countAfterQuarantine returns the number of executions later than quarantineDelay
+// after the third.
+func (p *poisonExecutions) countAfterQuarantine() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
-	for _, at := range p.runs {
-		if len(p.runs) > poisonMore && at.Sub(p.runs[2]) > poisonKnown {
+	for _, at := range p.startedAt {
+		if len(p.startedAt) > maxLaterExecutions && at.Sub(p.startedAt[2]) > quarantineDelay {
 			n++
 		}
 	}
 	return n
 }
 
-// poison sends a request that ends backend servers on a fleet that is whole. It must be
-// stopped soon, and no other request be refused for it, nor for the ends that went before.
-func (r *run) poison() {
-	r.checkQuarantined(0)
+// checkPoisonRequest sends a request that crashes backend servers to a recovered fleet.
+// It must be quarantined, and neither it nor earlier crashes may cause the quarantine
+// of other requests.
+func (r *soakRun) checkPoisonRequest() {
+	r.checkQuarantineRefusals(0)
 	stop := make(chan struct{})
-	var keepers, sent sync.WaitGroup
+	var servers, sent sync.WaitGroup
 	for _, m := range r.fleet.members {
 		if m.options.Service == frontService {
-			keepers.Add(1)
-			go func() { defer keepers.Done(); r.keepServer(m, stop) }()
+			servers.Add(1)
+			go func() { defer servers.Done(); r.keepServerRunning(m, stop) }()
 		}
 	}
 	c := newCallers(r.fleet.Entries())
 	refused := 0
 	var mu sync.Mutex
-	for end := time.Now().Add(poisonSpan); time.Now().Before(end); time.Sleep(poisonEvery) {
+	for end := time.Now().Add(poisonDuration); time.Now().Before(end); time.Sleep(poisonInterval) {
 		sent.Add(1)
 		go func() {
 			defer sent.Done()
-			a := c.sendSort(poisonSort, rand.IntN(len(r.fleet.members)), "")
+			a := c.sendOnce(poisonRequest, rand.IntN(len(r.fleet.members)), "")
 			mu.Lock()
 			defer mu.Unlock()
-			if a.reason == fault.Quarantined.String() {
+			if a.refusalReason == fault.Quarantined.String() {
 				refused++
 			}
 		}()
 	}
 	sent.Wait()
 	close(stop)
-	keepers.Wait()
-	if n := r.fleet.poisoned.later(); n > poisonMore {
-		r.broke("poison", "a request that ends backend servers was run %d times later than %s after the third", n, poisonKnown)
+	servers.Wait()
+	if n := r.fleet.poison.countAfterQuarantine(); n > maxLaterExecutions {
+		r.reportViolation("poison", "a request that crashes backend servers was executed %d times later than %s after the third crash", n, quarantineDelay)
 	}
 	if refused == 0 {
-		r.broke("poison", "a request that ends backend servers was never refused")
+		r.reportViolation("poison", "a request that crashes backend servers was never quarantined")
 	}
-	r.checkQuarantined(refused)
-	if _, _, err := r.awaitService(recoverWithin); err != nil {
-		r.broke("recovery", "not all is served %s after the request that ends backend servers: %v", recoverWithin, err)
+	r.checkQuarantineRefusals(refused)
+	if _, _, err := r.awaitService(recoveryTimeout); err != nil {
+		r.reportViolation("recovery", "requests still fail %s after the request that crashes backend servers: %v", recoveryTimeout, err)
 	}
 }
 
-// keepServer starts a node's backend server anew each time it has ended.
-func (r *run) keepServer(m *member, stop <-chan struct{}) {
+// keepServerRunning replaces a node's backend server after each crash until stop is
+// closed.
+func (r *soakRun) keepServerRunning(m *member, stop <-chan struct{}) {
 	for {
 		select {
-		case <-m.server().Ended():
-			m.loseServer(poisonAway, r)
+		case <-m.currentServer().Ended():
+			m.crashServer(crashDowntime, r)
 			continue
 		default:
 		}
 		select {
 		case <-stop:
 			return
-		case <-m.server().Ended():
+		case <-m.currentServer().Ended():
 		}
 	}
 }
 
-// checkQuarantined checks that the nodes refused no more requests as ones that end
-// backend servers than callers got such refusals.
-func (r *run) checkQuarantined(most int) {
+// checkQuarantineRefusals checks that the nodes refused at most the given number of
+// requests as quarantined.
+func (r *soakRun) checkQuarantineRefusals(maxRefusals int) {
 	total := int64(0)
 	for _, m := range r.fleet.members {
 		if s, err := m.Status(); err == nil {
 			total += s.Refusals[fault.Quarantined.String()]
 		}
 	}
-	if total > int64(most) {
-		r.broke("poison", "%d requests were refused as ones that end backend servers, %d of them rightly", total, most)
+	if total > int64(maxRefusals) {
+		r.reportViolation("poison", "%d requests were refused as quarantined, at most %d expected", total, maxRefusals)
 	}
 }
--- a/internal/soak/replicas.go
+++ b/internal/soak/replicas.go
@@ -10,34 +10,33 @@
 )
 
 const (
-	// outageLeast and outageMost bound how long all replicas are gone: longer than
-	// it takes to hold them dead.
-	outageLeast = 4 * time.Second
-	outageMost  = 8 * time.Second
-	// returnDue bounds the time from the acceptance of a change to its being in
-	// force on every node: two seconds, and one for processors that some runs
-	// share.
-	returnDue = 3 * time.Second
-	// repairWithin bounds the time from when all is served again to groups that are
-	// whole: a replacement begins four seconds after the last word of a replica.
-	repairWithin = 10 * time.Second
+	// minOutage and maxOutage bound the outage of all replicas; it is longer than the
+	// failure detection.
+	minOutage = 4 * time.Second
+	maxOutage = 8 * time.Second
+	// activationTimeout bounds the time from the acceptance of a change to its
+	// activation on every node: two seconds, and one for concurrent runs.
+	activationTimeout = 3 * time.Second
+	// repairTimeout bounds the time from recovery to complete replica groups; a
+	// replica is replaced after four seconds of silence.
+	repairTimeout = 10 * time.Second
 )
 
-// mayTakeDisk tells whether one more replica may lose its disk now, and if so keeps
-// the others from it for a while.
-func (r *run) mayTakeDisk() bool {
-	r.disks.Lock()
-	defer r.disks.Unlock()
-	if time.Since(r.diskLost) < repairTime || r.fleet.bearsLoss() != nil {
+// reserveDiskLoss reports whether a replica may lose its disk now; if so, it denies
+// further losses for minDiskLossInterval.
+func (r *soakRun) reserveDiskLoss() bool {
+	r.diskMu.Lock()
+	defer r.diskMu.Unlock()
+	if time.Since(r.lastDiskLoss) < minDiskLossInterval || r.fleet.checkToleratesLoss() != nil {
 		return false
 	}
-	r.diskLost = time.Now()
+	r.lastDiskLoss = time.Now()
 	return true
 }
 
-// bearsLoss fails unless the leader of each group knows that the group is whole and
-// commits on after the loss of one more replica.
-func (f *fleet) bearsLoss() error {
+// checkToleratesLoss returns an error unless each group is complete and tolerates the
+// loss of a replica, as its leader reports it.
+func (f *fleet) checkToleratesLoss() error {
 	bears := map[int]bool{}
 	for _, m := range f.members[:replicas] {
 		s, err := m.Status()
@@ -50,50 +49,50 @@
 		}
 	}
 	if len(bears) == 0 {
-		return fault.New(fault.NoQuorum, "no replica answers")
+		return fault.New(fault.NoQuorum, "no replica responds")
 	}
 	for id, ok := range bears {
 		if !ok {
-			return fault.Newf(fault.NoQuorum, "group %d does not bear a loss", id)
+			return fault.Newf(fault.NoQuorum, "group %d does not tolerate a loss", id)
 		}
 	}
 	return nil
 }
 
-// awaitRepair waits until the groups are whole, and returns how long that took.
-func (r *run) awaitRepair() time.Duration {
+// awaitRepair waits until the replica groups are complete and returns the time taken.
+func (r *soakRun) awaitRepair() time.Duration {
 	start := time.Now()
-	if err := harness.Await(repairWithin, r.fleet.bearsLoss); err != nil {
-		r.broke("repair", "the replicas are not whole %s after all is served: %v", repairWithin, err)
+	if err := harness.Await(repairTimeout, r.fleet.checkToleratesLoss); err != nil {
+		r.reportViolation("repair", "the replica groups are incomplete %s after recovery: %v", repairTimeout, err)
 	}
 	return time.Since(start)
 }
 
-// loseReplicas ends every run: all replicas are lost at once, under load, and
-// return. What is changed then must be in force everywhere soon. It returns how
-// long that took.
-func (r *run) loseReplicas() time.Duration {
-	rng := rand.New(rand.NewPCG(r.opt.Seed, uint64(replicas)))
-	away := outageLeast + time.Duration(rng.Int64N(int64(outageMost-outageLeast)))
+// restartAllReplicas kills all replicas at once under load and restarts them. A
+// settings change made afterwards must become active on every node within
+// activationTimeout. It returns the time that this took.
+func (r *soakRun) restartAllReplicas() time.Duration {
+	rng := rand.New(rand.NewPCG(r.options.Seed, uint64(replicas)))
+	away := minOutage + time.Duration(rng.Int64N(int64(maxOutage-minOutage)))
 	var acts sync.WaitGroup
 	for i := range replicas {
 		acts.Add(1)
 		go func() {
 			defer acts.Done()
-			r.act(Step{Kind: Kill, Target: i, For: away})
+			r.executeStep(Step{Kind: KillProcess, Target: i, For: away})
 		}()
 	}
 	acts.Wait()
-	before := len(r.operators.accepted())
-	r.operators.change(rng.IntN(r.opt.Nodes))
-	accepted := r.operators.accepted()
+	before := len(r.operators.acceptedChanges())
+	r.operators.changeSettings(rng.IntN(r.options.Nodes))
+	accepted := r.operators.acceptedChanges()
 	if len(accepted) == before {
-		r.broke("settings", "no change was accepted after all replicas had returned")
+		r.reportViolation("settings", "no settings change was accepted after the restart of all replicas")
 		return 0
 	}
 	last := accepted[len(accepted)-1]
-	if err := r.fleet.AwaitVersion(last.version, returnDue); err != nil {
-		r.broke("settings", "version %d is not in force everywhere %s after its acceptance, all replicas having returned: %v", last.version, returnDue, err)
+	if err := r.fleet.AwaitVersion(last.version, activationTimeout); err != nil {
+		r.reportViolation("settings", "version %d, accepted after the restart of all replicas, is not active on every node after %s: %v", last.version, activationTimeout, err)
 	}
-	return time.Since(last.at)
+	return time.Since(last.acceptedAt)
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -12,84 +12,84 @@
 	"github.com/umberthread/umberthread/internal/harness"
 )
 
-// Options are the settings of a run.
+// Options configures a run.
 type Options struct {
-	// Bin is the folder of the commands.
+	// Bin is the folder with the binaries.
 	Bin string
-	// Seed decides the plan.
+	// Seed determines the plan.
 	Seed uint64
-	// Span is how long steps begin.
+	// Duration is the time during which steps start.
 	Duration time.Duration
-	// Stalls tells whether disks stall too, and Poison whether a request that ends
-	// backend servers is sent once all is well again.
+	// DiskStalls adds disk stalls to the plan. PoisonRequest adds a request that
+	// crashes backend servers, sent after the recovery.
 	DiskStalls, PoisonRequest bool
-	// Nodes is how many nodes there are, at least 6.
+	// Nodes is the number of nodes, at least 6.
 	Nodes int
-	// PerSecond is how many requests callers send in a second.
+	// RequestRate is the number of requests per second; 0 selects the default.
 	RequestRate int
 }
 
 const (
-	leastNodes       = 6
-	defaultPerSecond = 120
+	minNodes           = 6
+	defaultRequestRate = 120
 )
 
-// Broken is a promise that did not hold.
-type Broken struct {
+// Violation is a violated promise.
+type Violation struct {
 	// Promise is the name of the promise.
 	Promise string
 	Detail  string
 }
 
-// Report is what a run found.
+// Report holds the results of a run.
 type Report struct {
 	Seed  uint64
 	Steps []Step
-	// Played counts the steps that were carried out, by kind: a step that takes a
-	// disk is left out while the replicas do not bear it.
+	// Played counts the executed steps by kind. Disk losses are skipped while the
+	// replicas do not tolerate them.
 	Played map[StepKind]int
-	Broken []Broken
-	// Attempts, Served and Refused count what callers saw.
+	Broken []Violation
+	// Attempts, Served and Refused count the attempts of callers, the successful ones,
+	// and those reported as not executed.
 	Attempts, Served, Refused int
-	// Changes is how many changes of the settings were accepted.
+	// Changes is the number of accepted settings changes.
 	Changes int
-	// Recovered is how long after the last step all requests were served.
+	// Recovered is the time from the end of the last step until all requests were
+	// served.
 	Recovered time.Duration
-	// Missed are the requests that were not served during that time, or served slowly,
-	// the last ones.
+	// Missed describes the last requests during the recovery that failed or were slow.
 	Missed []string
-	// Repaired is how much longer it took until the replica groups were whole.
+	// Repaired is the additional time until the replica groups were complete.
 	Repaired time.Duration
-	// InForce is how long a change took that was made after all replicas had been
-	// lost and had returned, from its acceptance to being in force on every node.
+	// InForce is the time from the acceptance of a settings change to its activation
+	// on every node, for a change made after a restart of all replicas.
 	InForce time.Duration
-	// Folder has the logs; it is removed if nothing is broken.
+	// Folder holds the logs; it is removed, and the field empty, without violations.
 	Folder string
 }
 
-// run is a run under way.
-type run struct {
-	opt       Options
+// soakRun is the state of a run.
+type soakRun struct {
+	options   Options
 	fleet     *fleet
 	callers   *callers
 	operators *operators
 
-	// disks is held while a step that takes a disk is let through or left out;
-	// diskLost is when the last one was let through.
-	disks    sync.Mutex
-	diskLost time.Time
+	// diskMu guards lastDiskLoss, the time of the last permitted disk loss.
+	diskMu       sync.Mutex
+	lastDiskLoss time.Time
 
-	mu     sync.Mutex
-	spells []*spell
-	broken []Broken
+	mu            sync.Mutex
+	executedSteps []*executedStep
+	violations    []Violation
 }
 
-// Run plays one seed. The error is of the soak itself; promises that did not
-// hold are in the report.
+// Run executes the plan of one seed. It returns an error if the soak itself fails;
+// violated promises are in the report.
 func Run(o Options) (*Report, error) {
-	o.Nodes = max(o.Nodes, leastNodes)
+	o.Nodes = max(o.Nodes, minNodes)
 	if o.RequestRate <= 0 {
-		o.RequestRate = defaultPerSecond
+		o.RequestRate = defaultRequestRate
 	}
 	f, err := startFleet(o.Bin, o.Nodes)
 	if f != nil {
@@ -98,11 +98,11 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &run{opt: o, fleet: f, callers: newCallers(f.Entries()), operators: &operators{admins: f.Admins()}}
-	if _, _, err := r.awaitService(recoverWithin); err != nil {
+	r := &soakRun{options: o, fleet: f, callers: newCallers(f.Entries()), operators: &operators{adminAddresses: f.Admins()}}
+	if _, _, err := r.awaitService(recoveryTimeout); err != nil {
 		return nil, err
 	}
-	rep := r.play()
+	rep := r.execute()
 	if len(rep.Broken) == 0 {
 		rep.Folder = ""
 		if err := os.RemoveAll(f.Dir); err != nil {
@@ -112,47 +112,47 @@
 	return rep, nil
 }
 
-// play carries the plan out under load and checks what it did.
-func (r *run) play() *Report {
-	steps := Plan(r.opt.Seed, r.opt.Nodes, replicas, r.opt.Duration)
-	if r.opt.DiskStalls {
-		steps = together(steps, StallPlan(r.opt.Seed, replicas, r.opt.Duration))
+// execute executes the plan under load and checks the promises.
+func (r *soakRun) execute() *Report {
+	steps := Plan(r.options.Seed, r.options.Nodes, replicas, r.options.Duration)
+	if r.options.DiskStalls {
+		steps = mergeSteps(steps, StallPlan(r.options.Seed, replicas, r.options.Duration))
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	var load, acts sync.WaitGroup
 	load.Add(2)
-	go func() { defer load.Done(); r.callers.run(ctx, r.opt.RequestRate) }()
+	go func() { defer load.Done(); r.callers.sendAtRate(ctx, r.options.RequestRate) }()
 	go func() { defer load.Done(); r.watchVersions(ctx) }()
 	start := time.Now()
 	for _, s := range steps {
 		time.Sleep(s.At - time.Since(start))
 		acts.Add(1)
-		go func() { defer acts.Done(); r.act(s) }()
+		go func() { defer acts.Done(); r.executeStep(s) }()
 	}
 	acts.Wait()
-	played := r.played()
-	recovered, missed, err := r.awaitService(recoverWithin)
+	played := r.executedByKind()
+	recovered, missed, err := r.awaitService(recoveryTimeout)
 	if err != nil {
-		r.broke("recovery", "not all is served %s after the last step: %v", recoverWithin, err)
+		r.reportViolation("recovery", "requests still fail %s after the last step: %v", recoveryTimeout, err)
 	}
 	repaired := r.awaitRepair()
-	if r.opt.DiskStalls {
-		r.stallOneByOne()
+	if r.options.DiskStalls {
+		r.stallDisksSequentially()
 	}
-	if r.opt.PoisonRequest {
-		r.poison()
+	if r.options.PoisonRequest {
+		r.checkPoisonRequest()
 	}
-	inForce := r.loseReplicas()
+	inForce := r.restartAllReplicas()
 	stop()
 	load.Wait()
-	r.checkAll()
-	rep := &Report{Seed: r.opt.Seed, Steps: steps, Played: played, Recovered: recovered, Missed: missed, Repaired: repaired, InForce: inForce, Folder: r.fleet.Dir, Broken: r.broken, Changes: len(r.operators.accepted())}
-	for _, a := range r.callers.taken() {
+	r.checkPromises()
+	rep := &Report{Seed: r.options.Seed, Steps: steps, Played: played, Recovered: recovered, Missed: missed, Repaired: repaired, InForce: inForce, Folder: r.fleet.Dir, Broken: r.violations, Changes: len(r.operators.acceptedChanges())}
+	for _, a := range r.callers.recordedAttempts() {
 		rep.Attempts++
 		switch {
 		case a.status == http.StatusOK:
 			rep.Served++
-		case a.notRun:
+		case a.notExecuted:
 			rep.Refused++
 		}
 	}
@@ -160,45 +160,47 @@
 }
 
 const (
-	// recoverWithin bounds the time until all is served again.
-	recoverWithin = 15 * time.Second
-	// inARow is how many requests of each sort every node must serve.
-	inARow = 5
+	// recoveryTimeout bounds the time until all requests are served.
+	recoveryTimeout = 15 * time.Second
+	// consecutiveProbes is the number of requests of each type that every node must
+	// serve.
+	consecutiveProbes = 5
 )
 
 const (
-	// missedMost is how many requests that were not served, or slowly, are kept.
-	missedMost = 12
-	// slowProbe is from when on a request is served slowly: it works for 20 ms.
-	slowProbe = 400 * time.Millisecond
+	// maxMissed bounds Report.Missed.
+	maxMissed = 12
+	// slowThreshold is the duration above which a request counts as slow; the service
+	// time is about 20 ms.
+	slowThreshold = 400 * time.Millisecond
 )
 
-// awaitService waits until every node serves every sort of request a few times
-// in a row. It returns how long that took, and what was not served meanwhile.
-func (r *run) awaitService(within time.Duration) (time.Duration, []string, error) {
+// awaitService waits until every node serves consecutiveProbes requests of each type.
+// It returns the time taken and descriptions of the failed and slow requests.
+func (r *soakRun) awaitService(within time.Duration) (time.Duration, []string, error) {
 	start := time.Now()
 	var missed []string
 	probe := newCallers(r.fleet.Entries())
 	err := harness.Await(within, func() error {
-		for kind := range sorts {
+		for kind := range requestTypes {
 			for entry := range r.fleet.members {
-				for range inARow {
-					probe.request(kind, entry)
+				for range consecutiveProbes {
+					probe.sendRequest(kind, entry)
 				}
 			}
 		}
-		taken := probe.taken()
+		taken := probe.recordedAttempts()
 		probe.attempts = nil
 		for _, a := range taken {
-			if took := a.ended.Sub(a.sent); a.status != http.StatusOK || took > slowProbe {
-				missed = append(missed, fmt.Sprintf("%s after %s at node %d: status %d, took %s, id %s", sorts[a.sort].target,
-					a.sent.Sub(start).Round(time.Millisecond), a.entry+1, a.status, took.Round(time.Millisecond), a.id))
-				missed = missed[max(0, len(missed)-missedMost):]
+			if took := a.endedAt.Sub(a.sentAt); a.status != http.StatusOK || took > slowThreshold {
+				missed = append(missed, fmt.Sprintf("%s after %s at node %d: status %d, took %s, id %s", requestTypes[a.requestType].target,
+					a.sentAt.Sub(start).Round(time.Millisecond), a.entryNode+1, a.status, took.Round(time.Millisecond), a.id))
+				missed = missed[max(0, len(missed)-maxMissed):]
 			}
 		}
 		for _, a := range taken {
 			if a.status != http.StatusOK {
-				return fault.Newf(fault.NotFound, "%s at node %d: status %d", sorts[a.sort].target, a.entry+1, a.status)
+				return fault.Newf(fault.NotFound, "%s at node %d: status %d", requestTypes[a.requestType].target, a.entryNode+1, a.status)
 			}
 		}
 		return nil
@@ -206,26 +208,27 @@
 	return time.Since(start), missed, err
 }
 
-// played counts the steps carried out so far, by kind.
-func (r *run) played() map[StepKind]int {
+// executedByKind returns the number of steps executed so far, by kind.
+func (r *soakRun) executedByKind() map[StepKind]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := map[StepKind]int{}
-	for _, sp := range r.spells {
+	for _, sp := range r.executedSteps {
 		out[sp.Kind]++
 	}
 	return out
 }
 
-func (r *run) note(sp *spell) {
+// recordStep adds a step to the executed ones.
+func (r *soakRun) recordStep(sp *executedStep) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.spells = append(r.spells, sp)
+	r.executedSteps = append(r.executedSteps, sp)
 }
 
-// broke notes a promise that did not hold.
-func (r *run) broke(promise, format string, args ...any) {
+// reportViolation records a violated promise.
+func (r *soakRun) reportViolation(promise, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.broken = append(r.broken, Broken{Promise: promise, Detail: fmt.Sprintf(format, args...)})
+	r.violations = append(r.violations, Violation{Promise: promise, Detail: fmt.Sprintf(format, args...)})
 }
--- a/internal/soak/stall.go
+++ b/internal/soak/stall.go
@@ -8,52 +8,52 @@
 )
 
 const (
-	// aloneStalls is how many disks stall one after the other, with no other step
-	// under way, and alonePause the time between two.
-	aloneStalls = 6
-	alonePause  = time.Second
-	// aloneMost is the longest such stall: a leader may hand its lead over after two
-	// seconds.
-	aloneMost = 1800 * time.Millisecond
+	// sequentialStalls is the number of stalls without concurrent steps, and
+	// sequentialStallPause the time between two of them.
+	sequentialStalls     = 6
+	sequentialStallPause = time.Second
+	// maxSequentialStall is shorter than the two seconds after which a leader may
+	// transfer its leadership.
+	maxSequentialStall = 1800 * time.Millisecond
 )
 
-// stallOneByOne lets single disks stall on a fleet that is whole. Each group commits on
-// with the disks that answer: its leader stays, and no request with a key is refused.
-func (r *run) stallOneByOne() {
-	rng := rand.New(rand.NewPCG(r.opt.Seed, uint64(aloneMost)))
+// stallDisksSequentially stalls single disks of a recovered fleet. Each group must keep
+// its leader and continue to commit, and every request with a key must succeed.
+func (r *soakRun) stallDisksSequentially() {
+	rng := rand.New(rand.NewPCG(r.options.Seed, uint64(maxSequentialStall)))
 	began := time.Now()
-	for i := range aloneStalls {
+	for i := range sequentialStalls {
 		before := r.fleet.leaders()
 		target := i % replicas
-		r.act(Step{Kind: Stall, Target: target, For: stallLeast + time.Duration(rng.Int64N(int64(aloneMost-stallLeast)))})
-		time.Sleep(alonePause)
+		r.executeStep(Step{Kind: StallDisk, Target: target, For: minStall + time.Duration(rng.Int64N(int64(maxSequentialStall-minStall)))})
+		time.Sleep(sequentialStallPause)
 		if after := r.fleet.leaders(); !maps.Equal(before, after) {
-			r.broke("stalled disk", "the groups are led by %v, before the disk of node %d stalled by %v", after, target+1, before)
+			r.reportViolation("stalled disk", "the leaders of the groups are %v; before the disk stall of node %d they were %v", after, target+1, before)
 		}
 	}
-	r.checkKeyed(began, time.Now())
+	r.checkKeyedRequests(began, time.Now())
 }
 
-// checkKeyed checks that each request with a key was served at once that was first sent
-// in a span. A resend of one whose earlier attempt was cut before is rightly refused: that
-// attempt may be in work.
-func (r *run) checkKeyed(began, ended time.Time) {
+// checkKeyedRequests checks that all attempts of the requests with a key that were
+// first sent in the time range succeeded. Requests first sent earlier are ignored: a
+// resend may be refused while an earlier attempt is in flight.
+func (r *soakRun) checkKeyedRequests(began, ended time.Time) {
 	first := map[string]time.Time{}
-	attempts := r.callers.taken()
+	attempts := r.callers.recordedAttempts()
 	for _, a := range attempts {
-		if at, ok := first[a.id]; !ok || a.sent.Before(at) {
-			first[a.id] = a.sent
+		if at, ok := first[a.id]; !ok || a.sentAt.Before(at) {
+			first[a.id] = a.sentAt
 		}
 	}
 	for _, a := range attempts {
-		inSpan := first[a.id].After(began) && a.sent.Before(ended)
-		if sorts[a.sort].keyed && inSpan && a.status != http.StatusOK {
-			r.broke("stalled disk", "%s %s got status %d after %s while one disk stalled", sorts[a.sort].target, a.id, a.status, a.ended.Sub(a.sent).Round(time.Millisecond))
+		inSpan := first[a.id].After(began) && a.sentAt.Before(ended)
+		if requestTypes[a.requestType].keyed && inSpan && a.status != http.StatusOK {
+			r.reportViolation("stalled disk", "%s %s got status %d after %s while one disk stalled", requestTypes[a.requestType].target, a.id, a.status, a.endedAt.Sub(a.sentAt).Round(time.Millisecond))
 		}
 	}
 }
 
-// leaders returns which node leads each group, by the groups' numbers.
+// leaders returns the name of the leader of each group.
 func (f *fleet) leaders() map[int]string {
 	out := map[int]string{}
 	for _, m := range f.members[:replicas] {
