--- a/cmd/umberbench/study.go
+++ b/cmd/umberbench/study.go
@@ -26,7 +26,7 @@
 
 // runStudy plays a failure domain of each size and prints a table.
 func runStudy(o studyOptions) error {
-	var all []study.Figures
+	var all []study.Result
 	for _, size := range o.sizes {
 		began := time.Now()
 		progress := func(what string) {
@@ -41,7 +41,7 @@
 	return plotStudy(filepath.Join(o.out, "study.svg"), all)
 }
 
-func printStudy(all []study.Figures) {
+func printStudy(all []study.Result) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "members\tsettled s\tquiet B/s\trestarts B/s\tsuspected /h\theld dead /h\tnoticed s, median\t99%\tby all, longest\tin force ms, median\t99%\tlongest")
 	for _, f := range all {
@@ -54,7 +54,7 @@
 }
 
 // plotStudy draws the times against the number of members.
-func plotStudy(path string, all []study.Figures) error {
+func plotStudy(path string, all []study.Result) error {
 	p := plot.New()
 	p.Title.Text = "A failure domain in virtual time"
 	p.X.Label.Text = "members"
@@ -65,11 +65,11 @@
 	p.Legend.Left = true
 	lines := []struct {
 		name string
-		of   func(study.Figures) time.Duration
+		of   func(study.Result) time.Duration
 	}{
-		{"a loss noticed, median", func(f study.Figures) time.Duration { return f.Noticed.Median }},
-		{"a loss noticed by all, longest", func(f study.Figures) time.Duration { return f.All.Longest }},
-		{"a change in force on all, longest", func(f study.Figures) time.Duration { return f.InForce.Longest }},
+		{"a loss noticed, median", func(f study.Result) time.Duration { return f.Noticed.Median }},
+		{"a loss noticed by all, longest", func(f study.Result) time.Duration { return f.All.Longest }},
+		{"a change in force on all, longest", func(f study.Result) time.Duration { return f.InForce.Longest }},
 	}
 	for i, l := range lines {
 		pts := make(plotter.XYs, len(all))
--- a/internal/study/study.go
+++ b/internal/study/study.go
@@ -21,7 +21,7 @@
 type Spread struct{ Median, P99, Longest time.Duration }
 
 // Figures are what a study found.
-type Figures struct {
+type Result struct {
 	Members int
 	// Settle is how long after a start of all together the members have said all
 	// that they have to say of it.
@@ -58,11 +58,11 @@
 )
 
 // Run plays a study.
-func Run(o Options) Figures {
+func Run(o Options) Result {
 	if o.Progress == nil {
 		o.Progress = func(string) {}
 	}
-	f := Figures{Members: o.Members}
+	f := Result{Members: o.Members}
 	o.Progress("start")
 	d := newDomain(o)
 	for d.now < settleMost && d.rate(settleStep) > quietBytes {
