--- a/internal/study/study.go
+++ b/internal/study/study.go
@@ -25,7 +25,7 @@
 	Members int
 	// Settle is how long after a start of all together the members have said all
 	// that they have to say of it.
-	Settle time.Duration
+	SettleTime time.Duration
 	// Quiet and Restarting are the bytes that a member sends in a second, in
 	// datagrams: while nothing happens, and with a restart every ten seconds.
 	Quiet, Restarting float64
@@ -67,7 +67,7 @@
 	d := newDomain(o)
 	for d.now < settleMost && d.rate(settleStep) > quietBytes {
 	}
-	f.Settle = d.now
+	f.SettleTime = d.now
 	o.Progress("quiet")
 	d.suspected, d.killed = 0, 0
 	f.Quiet = d.rate(quietFor)
