--- a/internal/study/study.go
+++ b/internal/study/study.go
@@ -28,7 +28,7 @@
 	SettleTime time.Duration
 	// Quiet and Restarting are the bytes that a member sends in a second, in
 	// datagrams: while nothing happens, and with a restart every ten seconds.
-	Quiet, Restarting float64
+	IdleBytesPerSecond, Restarting float64
 	// Suspected is how often in an hour one member takes another, which runs, for
 	// suspect, and Killed how often it holds it dead.
 	Suspected, Killed float64
@@ -70,7 +70,7 @@
 	f.SettleTime = d.now
 	o.Progress("quiet")
 	d.suspected, d.killed = 0, 0
-	f.Quiet = d.rate(quietFor)
+	f.IdleBytesPerSecond = d.rate(quietFor)
 	pairHours := quietFor.Hours() * float64(o.Members) * float64(o.Members)
 	f.Suspected = float64(d.suspected) / pairHours
 	f.Killed = float64(d.killed) / pairHours
