--- a/internal/study/study.go
+++ b/internal/study/study.go
@@ -28,7 +28,7 @@
 	SettleTime time.Duration
 	// Quiet and Restarting are the bytes that a member sends in a second, in
 	// datagrams: while nothing happens, and with a restart every ten seconds.
-	IdleBytesPerSecond, Restarting float64
+	IdleBytesPerSecond, RestartBytesPerSecond float64
 	// Suspected is how often in an hour one member takes another, which runs, for
 	// suspect, and Killed how often it holds it dead.
 	Suspected, Killed float64
@@ -77,7 +77,7 @@
 	o.Progress("changes")
 	f.InForce = d.playChanges()
 	o.Progress("restarts")
-	f.Restarting = d.playRestarts()
+	f.RestartBytesPerSecond = d.playRestarts()
 	o.Progress("losses")
 	f.Noticed, f.All = d.playLosses()
 	return f
