--- a/internal/study/study.go
+++ b/internal/study/study.go
@@ -31,7 +31,7 @@
 	IdleBytesPerSecond, RestartBytesPerSecond float64
 	// Suspected is how often in an hour one member takes another, which runs, for
 	// suspect, and Killed how often it holds it dead.
-	Suspected, Killed float64
+	FalseSuspicionsPerHour, Killed float64
 	// Noticed is the time from the loss of a process until a member holds it dead,
 	// over all members and losses, and All until the last one does.
 	Noticed, All Spread
@@ -72,7 +72,7 @@
 	d.suspected, d.killed = 0, 0
 	f.IdleBytesPerSecond = d.rate(quietFor)
 	pairHours := quietFor.Hours() * float64(o.Members) * float64(o.Members)
-	f.Suspected = float64(d.suspected) / pairHours
+	f.FalseSuspicionsPerHour = float64(d.suspected) / pairHours
 	f.Killed = float64(d.killed) / pairHours
 	o.Progress("changes")
 	f.InForce = d.playChanges()
