--- a/cmd/umberbench/study.go
+++ b/cmd/umberbench/study.go
@@ -46,7 +46,7 @@
 	_, _ = fmt.Fprintln(w, "members\tsettled s\tquiet B/s\trestarts B/s\tsuspected /h\theld dead /h\tnoticed s, median\t99%\tby all, longest\tin force ms, median\t99%\tlongest")
 	for _, f := range all {
 		_, _ = fmt.Fprintf(w, "%d\t%.0f\t%.0f\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%d\t%d\n",
-			f.Members, f.SettleTime.Seconds(), f.IdleBytesPerSecond, f.RestartBytesPerSecond, f.FalseSuspicionsPerHour, f.Killed,
+			f.Members, f.SettleTime.Seconds(), f.IdleBytesPerSecond, f.RestartBytesPerSecond, f.FalseSuspicionsPerHour, f.FalseDeathsPerHour,
 			f.Noticed.Median.Seconds(), f.Noticed.P99.Seconds(), f.All.Longest.Seconds(),
 			f.InForce.Median.Milliseconds(), f.InForce.P99.Milliseconds(), f.InForce.Longest.Milliseconds())
 	}
--- a/internal/study/study.go
+++ b/internal/study/study.go
@@ -31,7 +31,7 @@
 	IdleBytesPerSecond, RestartBytesPerSecond float64
 	// Suspected is how often in an hour one member takes another, which runs, for
 	// suspect, and Killed how often it holds it dead.
-	FalseSuspicionsPerHour, Killed float64
+	FalseSuspicionsPerHour, FalseDeathsPerHour float64
 	// Noticed is the time from the loss of a process until a member holds it dead,
 	// over all members and losses, and All until the last one does.
 	Noticed, All Spread
@@ -73,7 +73,7 @@
 	f.IdleBytesPerSecond = d.rate(quietFor)
 	pairHours := quietFor.Hours() * float64(o.Members) * float64(o.Members)
 	f.FalseSuspicionsPerHour = float64(d.suspected) / pairHours
-	f.Killed = float64(d.killed) / pairHours
+	f.FalseDeathsPerHour = float64(d.killed) / pairHours
 	o.Progress("changes")
 	f.InForce = d.playChanges()
 	o.Progress("restarts")
--- a/internal/study/study_test.go
+++ b/internal/study/study_test.go
@@ -15,7 +15,7 @@
 	f := Run(o)
 	t.Logf("%+v", f)
 	g.Expect(Run(o)).To(gomega.Equal(f))
-	g.Expect(f.Killed).To(gomega.BeZero())
+	g.Expect(f.FalseDeathsPerHour).To(gomega.BeZero())
 	g.Expect(f.All.Longest).To(gomega.BeNumerically("<", lossEvery))
 	g.Expect(f.InForce.Longest).To(gomega.BeNumerically("<", 2*time.Second))
 }
