--- a/internal/study/study.go
+++ b/internal/study/study.go
@@ -34,7 +34,7 @@
 	FalseSuspicionsPerHour, FalseDeathsPerHour float64
 	// Noticed is the time from the loss of a process until a member holds it dead,
 	// over all members and losses, and All until the last one does.
-	DetectionTime, All Spread
+	DetectionTime, FullDetectionTime Spread
 	// InForce is the time from a change of the settings at one member until it is in
 	// force on all.
 	InForce Spread
@@ -79,7 +79,7 @@
 	o.Progress("restarts")
 	f.RestartBytesPerSecond = d.playRestarts()
 	o.Progress("losses")
-	f.DetectionTime, f.All = d.playLosses()
+	f.DetectionTime, f.FullDetectionTime = d.playLosses()
 	return f
 }
 
