--- a/cmd/umberbench/study.go
+++ b/cmd/umberbench/study.go
@@ -48,7 +48,7 @@
 		_, _ = fmt.Fprintf(w, "%d\t%.0f\t%.0f\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%d\t%d\n",
 			f.Members, f.SettleTime.Seconds(), f.IdleBytesPerSecond, f.RestartBytesPerSecond, f.FalseSuspicionsPerHour, f.FalseDeathsPerHour,
 			f.DetectionTime.Median.Seconds(), f.DetectionTime.P99.Seconds(), f.FullDetectionTime.Longest.Seconds(),
-			f.InForce.Median.Milliseconds(), f.InForce.P99.Milliseconds(), f.InForce.Longest.Milliseconds())
+			f.SettingsPropagationTime.Median.Milliseconds(), f.SettingsPropagationTime.P99.Milliseconds(), f.SettingsPropagationTime.Longest.Milliseconds())
 	}
 	_ = w.Flush()
 }
@@ -69,7 +69,7 @@
 	}{
 		{"a loss noticed, median", func(f study.Result) time.Duration { return f.DetectionTime.Median }},
 		{"a loss noticed by all, longest", func(f study.Result) time.Duration { return f.FullDetectionTime.Longest }},
-		{"a change in force on all, longest", func(f study.Result) time.Duration { return f.InForce.Longest }},
+		{"a change in force on all, longest", func(f study.Result) time.Duration { return f.SettingsPropagationTime.Longest }},
 	}
 	for i, l := range lines {
 		pts := make(plotter.XYs, len(all))
--- a/internal/study/study.go
+++ b/internal/study/study.go
@@ -37,7 +37,7 @@
 	DetectionTime, FullDetectionTime Spread
 	// InForce is the time from a change of the settings at one member until it is in
 	// force on all.
-	InForce Spread
+	SettingsPropagationTime Spread
 }
 
 const (
@@ -75,7 +75,7 @@
 	f.FalseSuspicionsPerHour = float64(d.suspected) / pairHours
 	f.FalseDeathsPerHour = float64(d.killed) / pairHours
 	o.Progress("changes")
-	f.InForce = d.playChanges()
+	f.SettingsPropagationTime = d.playChanges()
 	o.Progress("restarts")
 	f.RestartBytesPerSecond = d.playRestarts()
 	o.Progress("losses")
--- a/internal/study/study_test.go
+++ b/internal/study/study_test.go
@@ -17,5 +17,5 @@
 	g.Expect(Run(o)).To(gomega.Equal(f))
 	g.Expect(f.FalseDeathsPerHour).To(gomega.BeZero())
 	g.Expect(f.FullDetectionTime.Longest).To(gomega.BeNumerically("<", lossEvery))
-	g.Expect(f.InForce.Longest).To(gomega.BeNumerically("<", 2*time.Second))
+	g.Expect(f.SettingsPropagationTime.Longest).To(gomega.BeNumerically("<", 2*time.Second))
 }
