--- a/cmd/umberbench/study.go
+++ b/cmd/umberbench/study.go
@@ -47,8 +47,8 @@
 	for _, f := range all {
 		_, _ = fmt.Fprintf(w, "%d\t%.0f\t%.0f\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%d\t%d\n",
 			f.Members, f.SettleTime.Seconds(), f.IdleBytesPerSecond, f.RestartBytesPerSecond, f.FalseSuspicionsPerHour, f.FalseDeathsPerHour,
-			f.DetectionTime.Median.Seconds(), f.DetectionTime.P99.Seconds(), f.FullDetectionTime.Longest.Seconds(),
-			f.SettingsPropagationTime.Median.Milliseconds(), f.SettingsPropagationTime.P99.Milliseconds(), f.SettingsPropagationTime.Longest.Milliseconds())
+			f.DetectionTime.Median.Seconds(), f.DetectionTime.P99.Seconds(), f.FullDetectionTime.Max.Seconds(),
+			f.SettingsPropagationTime.Median.Milliseconds(), f.SettingsPropagationTime.P99.Milliseconds(), f.SettingsPropagationTime.Max.Milliseconds())
 	}
 	_ = w.Flush()
 }
@@ -68,8 +68,8 @@
 		of   func(study.Result) time.Duration
 	}{
 		{"a loss noticed, median", func(f study.Result) time.Duration { return f.DetectionTime.Median }},
-		{"a loss noticed by all, longest", func(f study.Result) time.Duration { return f.FullDetectionTime.Longest }},
-		{"a change in force on all, longest", func(f study.Result) time.Duration { return f.SettingsPropagationTime.Longest }},
+		{"a loss noticed by all, longest", func(f study.Result) time.Duration { return f.FullDetectionTime.Max }},
+		{"a change in force on all, longest", func(f study.Result) time.Duration { return f.SettingsPropagationTime.Max }},
 	}
 	for i, l := range lines {
 		pts := make(plotter.XYs, len(all))
--- a/internal/study/study.go
+++ b/internal/study/study.go
@@ -18,7 +18,7 @@
 }
 
 // Spread is a distribution of times.
-type Spread struct{ Median, P99, Longest time.Duration }
+type Spread struct{ Median, P99, Max time.Duration }
 
 // Figures are what a study found.
 type Result struct {
--- a/internal/study/study_test.go
+++ b/internal/study/study_test.go
@@ -16,6 +16,6 @@
 	t.Logf("%+v", f)
 	g.Expect(Run(o)).To(gomega.Equal(f))
 	g.Expect(f.FalseDeathsPerHour).To(gomega.BeZero())
-	g.Expect(f.FullDetectionTime.Longest).To(gomega.BeNumerically("<", lossEvery))
-	g.Expect(f.SettingsPropagationTime.Longest).To(gomega.BeNumerically("<", 2*time.Second))
+	g.Expect(f.FullDetectionTime.Max).To(gomega.BeNumerically("<", lossEvery))
+	g.Expect(f.SettingsPropagationTime.Max).To(gomega.BeNumerically("<", 2*time.Second))
 }
