--- a/internal/study/doc.go
+++ b/internal/study/doc.go
@@ -1,9 +1,9 @@
-// Package study plays one failure domain in virtual time, at any size: the real
-// gossip cores, over a network that delays and loses datagrams. It tells how long a
-// lost process goes unnoticed, how often a running one is suspected, what members
-// send, and how long a change of the settings takes to be in force on all.
+// Package study simulates the gossip of one failure domain of any size in virtual time:
+// the daemon's gossip cores over a network that delays and loses datagrams. It measures
+// failure detection time, false suspicions, traffic, and the propagation time of
+// settings.
 //
-// It is deterministic by its seed, starts no goroutine and does no I/O.
+// A seed determines the result. The package starts no goroutines and does no I/O.
 //
-//	figures := study.Run(study.Options{Members: 128, Seed: 1, Loss: 0.01})
+//	result := study.Run(study.Options{Members: 128, Seed: 1, Loss: 0.01})
 package study
--- a/internal/study/domain.go
+++ b/internal/study/domain.go
@@ -10,52 +10,52 @@
 )
 
 const (
-	// step is the grain of the virtual time.
-	step = time.Millisecond
-	// The times of a node: its clock's tick, its probes and its comparisons of
-	// records, as the daemon has them.
-	tick       = 25 * time.Millisecond
-	period     = 500 * time.Millisecond
-	ackTimeout = 150 * time.Millisecond
-	suspicion  = 2 * time.Second
-	forget     = 30 * time.Second
-	compare    = 2 * time.Second
-	indirect   = 3
-	packetSize = 1100
-	nudges     = 3
-	// metaSize is what a node says of itself, in bytes.
-	metaSize = 120
-	// delayMost bounds the way of a datagram, one way, within a failure domain.
-	delayMost = 3
+	// timeStep is the resolution of the virtual time.
+	timeStep = time.Millisecond
+	// Gossip parameters, as in the daemon.
+	tickInterval      = 25 * time.Millisecond
+	probePeriod       = 500 * time.Millisecond
+	ackTimeout        = 150 * time.Millisecond
+	suspicionTimeout  = 2 * time.Second
+	departedRetention = 30 * time.Second
+	syncInterval      = 2 * time.Second
+	indirectProbes    = 3
+	packetBytes       = 1100
+	urgentPings       = 3
+	// metadataBytes is the size of a member's metadata.
+	metadataBytes = 120
+	// maxDelaySteps bounds the one-way delay of a datagram, in time steps.
+	maxDelaySteps = 3
 )
 
-// node is one process.
+// node is a simulated process.
 type node struct {
 	id, addr string
 	core     *gossip.Core
 	version  uint64
 	fetching bool
-	// dead are the processes that this one holds dead.
+	// dead holds the ids of the processes that this one considers dead.
 	dead map[string]bool
 }
 
-// domain is the processes of a failure domain, by their addresses.
+// domain simulates the processes of a failure domain.
 type domain struct {
-	opt   Options
-	rng   *rand.Rand
-	now   time.Duration
-	nodes map[string]*node
-	addrs []string
-	// due is what happens in the next steps; it is a ring, indexed by time.
-	due    [64][]func()
-	starts int
-	// bytes and suspected count since they were last set to zero; suspected are
-	// suspicions of processes that run, and killed those that were held dead.
-	bytes, suspected, killed int
+	options Options
+	rng     *rand.Rand
+	now     time.Duration
+	nodes   map[string]*node
+	addrs   []string
+	// pendingEvents is a ring of the functions to run in the next time steps.
+	pendingEvents [64][]func()
+	startCount    int
+	// sentBytes, falseSuspicions and falseDeaths count since their last reset. The
+	// latter two concern running processes that were suspected or considered dead.
+	sentBytes, falseSuspicions, falseDeaths int
 }
 
+// newDomain starts all members; each knows all others.
 func newDomain(o Options) *domain {
-	d := &domain{opt: o, rng: rand.New(rand.NewPCG(o.Seed, uint64(o.Members))), nodes: map[string]*node{}}
+	d := &domain{options: o, rng: rand.New(rand.NewPCG(o.Seed, uint64(o.Members))), nodes: map[string]*node{}}
 	for i := range o.Members {
 		addr := fmt.Sprintf("10.0.%d.%d:7002", i/250, i%250)
 		d.addrs = append(d.addrs, addr)
@@ -74,92 +74,97 @@
 	return d
 }
 
-// start runs a new process at an address.
+// start starts a new process at an address.
 func (d *domain) start(addr string) *node {
-	d.starts++
-	n := &node{id: fmt.Sprintf("%016x", d.starts), addr: addr, dead: map[string]bool{}}
-	n.core = gossip.New(gossip.Member{ID: n.id, Addr: addr, Meta: make([]byte, metaSize)}, gossip.Options{
-		Period: period, AckTimeout: ackTimeout, Suspicion: suspicion, Forget: forget,
-		Indirect: indirect, PacketBytes: packetSize, Rand: d.rng,
+	d.startCount++
+	n := &node{id: fmt.Sprintf("%016x", d.startCount), addr: addr, dead: map[string]bool{}}
+	n.core = gossip.New(gossip.Member{ID: n.id, Addr: addr, Meta: make([]byte, metadataBytes)}, gossip.Options{
+		Period: probePeriod, AckTimeout: ackTimeout, Suspicion: suspicionTimeout, Forget: departedRetention,
+		Indirect: indirectProbes, PacketBytes: packetBytes, Rand: d.rng,
 	})
 	d.nodes[addr] = n
 	return n
 }
 
-// after plans what happens later, by less than the length of the ring.
-func (d *domain) after(wait time.Duration, run func()) {
-	at := (d.now + max(step, wait)) / step % time.Duration(len(d.due))
-	d.due[at] = append(d.due[at], run)
+// schedule runs a function after a delay, which must be shorter than the ring.
+func (d *domain) schedule(wait time.Duration, run func()) {
+	at := (d.now + max(timeStep, wait)) / timeStep % time.Duration(len(d.pendingEvents))
+	d.pendingEvents[at] = append(d.pendingEvents[at], run)
 }
 
-func (d *domain) run(span time.Duration) {
+// advance runs the simulation for the given virtual time.
+func (d *domain) advance(span time.Duration) {
 	for end := d.now + span; d.now < end; {
-		d.now += step
-		d.step()
+		d.now += timeStep
+		d.runStep()
 	}
 }
 
-func (d *domain) step() {
-	at := d.now / step % time.Duration(len(d.due))
-	for _, run := range d.due[at] {
+// runStep runs the pending events of a time step and the ticks of the processes due in it.
+func (d *domain) runStep() {
+	at := d.now / timeStep % time.Duration(len(d.pendingEvents))
+	for _, run := range d.pendingEvents[at] {
 		run()
 	}
-	d.due[at] = d.due[at][:0]
-	// The clocks of the processes tick one after the other.
-	phases := int(tick / step)
-	for i := int(d.now/step) % phases; i < len(d.addrs); i += phases {
+	d.pendingEvents[at] = d.pendingEvents[at][:0]
+	// The ticks of the processes are spread over the interval.
+	phases := int(tickInterval / timeStep)
+	for i := int(d.now/timeStep) % phases; i < len(d.addrs); i += phases {
 		n := d.nodes[d.addrs[i]]
 		if n == nil {
 			continue
 		}
 		n.core.Tick(d.now)
-		d.work(n)
-		if d.rng.Int64N(int64(compare/tick)) == 0 {
-			d.compare(n)
+		d.processOutput(n)
+		if d.rng.Int64N(int64(syncInterval/tickInterval)) == 0 {
+			d.syncWithRandomNode(n)
 		}
 	}
 }
 
-// delay draws the way of a datagram.
-func (d *domain) delay() time.Duration { return time.Duration(1+d.rng.IntN(delayMost)) * step }
+// randomDelay draws the delay of a datagram.
+func (d *domain) randomDelay() time.Duration {
+	return time.Duration(1+d.rng.IntN(maxDelaySteps)) * timeStep
+}
 
-// work sends what a core wants sent and takes in its events.
-func (d *domain) work(n *node) {
+// processOutput sends the packets of a core and processes its events.
+func (d *domain) processOutput(n *node) {
 	outs, events := n.core.Take()
 	for _, o := range outs {
 		o.Packet.Config = n.version
-		d.bytes += len(gossip.EncodePacket(o.Packet))
-		if d.rng.Float64() < d.opt.Loss {
+		d.sentBytes += len(gossip.EncodePacket(o.Packet))
+		if d.rng.Float64() < d.options.Loss {
 			continue
 		}
-		d.after(d.delay(), func() { d.receive(o.Addr, n.addr, o.Packet) })
+		d.schedule(d.randomDelay(), func() { d.receive(o.Addr, n.addr, o.Packet) })
 	}
 	for _, e := range events {
 		if e.Member != nil {
-			d.note(n, *e.Member)
+			d.recordStatus(n, *e.Member)
 		}
 	}
 }
 
-// note keeps whom a process suspects or holds dead.
-func (d *domain) note(n *node, m gossip.Member) {
+// recordStatus records that a process suspects another or considers it dead or alive.
+func (d *domain) recordStatus(n *node, m gossip.Member) {
 	q := d.nodes[m.Addr]
 	runs := q != nil && q.id == m.ID
 	switch m.Status {
 	case gossip.Suspect:
 		if runs {
-			d.suspected++
+			d.falseSuspicions++
 		}
 	case gossip.Dead:
 		n.dead[m.ID] = true
 		if runs {
-			d.killed++
+			d.falseDeaths++
 		}
 	default:
 		delete(n.dead, m.ID)
 	}
 }
 
+// receive delivers a datagram, which is lost if no process has the address.
 func (d *domain) receive(addr, from string, p gossip.Packet) {
 	n := d.nodes[addr]
 	if n == nil {
@@ -167,47 +172,48 @@
 	}
 	n.core.Receive(d.now, from, p)
 	if p.Config > n.version {
-		d.fetch(n, from)
+		d.fetchSettings(n, from)
 	}
-	d.work(n)
+	d.processOutput(n)
 }
 
-// fetch brings a process up to the settings of another, over a connection.
-func (d *domain) fetch(n *node, from string) {
+// fetchSettings fetches the settings of another process over a connection.
+func (d *domain) fetchSettings(n *node, from string) {
 	if n.fetching {
 		return
 	}
 	n.fetching = true
-	d.after(2*d.delay(), func() {
+	d.schedule(2*d.randomDelay(), func() {
 		n.fetching = false
 		if q := d.nodes[from]; q != nil && q.version > n.version {
-			d.force(n, q.version)
+			d.applyVersion(n, q.version)
 		}
 	})
 }
 
-func (d *domain) force(n *node, version uint64) {
+// applyVersion applies a settings version at a process, which then announces it.
+func (d *domain) applyVersion(n *node, version uint64) {
 	n.version = version
-	n.core.Nudge(nudges)
-	d.work(n)
+	n.core.Nudge(urgentPings)
+	d.processOutput(n)
 }
 
-// compare has a process compare its records with a random other one's.
-func (d *domain) compare(n *node) {
+// syncWithRandomNode exchanges differing records with a random process.
+func (d *domain) syncWithRandomNode(n *node) {
 	q := d.nodes[d.addrs[d.rng.IntN(len(d.addrs))]]
 	if q == nil || q == n {
 		return
 	}
 	mine, theirs := n.core.Digest(), q.core.Digest()
 	give, take := n.core.Differing(theirs), q.core.Differing(mine)
-	n.core.Merge(d.now, sorted(take))
-	q.core.Merge(d.now, sorted(give))
-	d.work(n)
-	d.work(q)
+	n.core.Merge(d.now, sortRecords(take))
+	q.core.Merge(d.now, sortRecords(give))
+	d.processOutput(n)
+	d.processOutput(q)
 }
 
-// sorted puts records into one order for each seed.
-func sorted(rs []gossip.Record) []gossip.Record {
+// sortRecords sorts records by key, for determinism.
+func sortRecords(rs []gossip.Record) []gossip.Record {
 	slices.SortFunc(rs, func(a, b gossip.Record) int {
 		switch {
 		case a.Key < b.Key:
--- a/internal/study/study.go
+++ b/internal/study/study.go
@@ -5,59 +5,59 @@
 	"time"
 )
 
-// Options are the settings of a study.
+// Options configures a simulation.
 type Options struct {
-	// Members is how many processes the failure domain has.
+	// Members is the number of processes in the failure domain.
 	Members int
-	// Seed decides all choices.
+	// Seed determines all random choices.
 	Seed uint64
-	// Loss is the share of datagrams that is lost.
+	// Loss is the fraction of datagrams lost.
 	Loss float64
-	// Progress is told what is played next, if it is not nil.
+	// Progress is called with the name of each phase at its start, if not nil.
 	Progress func(what string)
 }
 
-// Spread is a distribution of times.
-type Spread struct{ Median, P99, Max time.Duration }
+// Distribution summarizes measured durations.
+type Distribution struct{ Median, P99, Max time.Duration }
 
-// Figures are what a study found.
+// Result holds the measurements of a simulation.
 type Result struct {
 	Members int
-	// Settle is how long after a start of all together the members have said all
-	// that they have to say of it.
+	// SettleTime is the time after a simultaneous start of all members until the
+	// gossip about it ends.
 	SettleTime time.Duration
-	// Quiet and Restarting are the bytes that a member sends in a second, in
-	// datagrams: while nothing happens, and with a restart every ten seconds.
+	// IdleBytesPerSecond and RestartBytesPerSecond are the datagram bytes that a
+	// member sends per second without events and with a restart every ten seconds.
 	IdleBytesPerSecond, RestartBytesPerSecond float64
-	// Suspected is how often in an hour one member takes another, which runs, for
-	// suspect, and Killed how often it holds it dead.
+	// FalseSuspicionsPerHour is how often per hour a member suspects a given running
+	// one, FalseDeathsPerHour how often it considers it dead.
 	FalseSuspicionsPerHour, FalseDeathsPerHour float64
-	// Noticed is the time from the loss of a process until a member holds it dead,
-	// over all members and losses, and All until the last one does.
-	DetectionTime, FullDetectionTime Spread
-	// InForce is the time from a change of the settings at one member until it is in
-	// force on all.
-	SettingsPropagationTime Spread
+	// DetectionTime is the time from the loss of a process until a member considers
+	// it dead, over all members and losses; FullDetectionTime until the last one does.
+	DetectionTime, FullDetectionTime Distribution
+	// SettingsPropagationTime is the time from a settings change at one member until
+	// all members have applied it.
+	SettingsPropagationTime Distribution
 }
 
 const (
-	quietFor  = 60 * time.Second
-	losses    = 10
-	lossEvery = 15 * time.Second
-	changes   = 20
-	// changeEvery is more than a change takes.
-	changeEvery  = 3 * time.Second
-	restarts     = 10
-	restartEvery = 10 * time.Second
-	// settleMost bounds the wait for silence after the start.
-	settleMost = 20 * time.Minute
-	// settleStep is how often is looked for it, and quietBytes is the most that a
-	// member then sends in a second: pings and acks without records.
-	settleStep = 5 * time.Second
-	quietBytes = 300
+	idleDuration = 60 * time.Second
+	lossCount    = 10
+	lossInterval = 15 * time.Second
+	changeCount  = 20
+	// changeInterval is longer than the propagation of a change.
+	changeInterval  = 3 * time.Second
+	restartCount    = 10
+	restartInterval = 10 * time.Second
+	// settleTimeout bounds the settle time.
+	settleTimeout = 20 * time.Minute
+	// The domain is settled once a member sends at most settledBytesPerSecond, pings
+	// and acks without records, over a settlePollInterval.
+	settlePollInterval    = 5 * time.Second
+	settledBytesPerSecond = 300
 )
 
-// Run plays a study.
+// Run simulates a failure domain and returns the measurements.
 func Run(o Options) Result {
 	if o.Progress == nil {
 		o.Progress = func(string) {}
@@ -65,33 +65,34 @@
 	f := Result{Members: o.Members}
 	o.Progress("start")
 	d := newDomain(o)
-	for d.now < settleMost && d.rate(settleStep) > quietBytes {
+	for d.now < settleTimeout && d.measureSendRate(settlePollInterval) > settledBytesPerSecond {
 	}
 	f.SettleTime = d.now
 	o.Progress("quiet")
-	d.suspected, d.killed = 0, 0
-	f.IdleBytesPerSecond = d.rate(quietFor)
-	pairHours := quietFor.Hours() * float64(o.Members) * float64(o.Members)
-	f.FalseSuspicionsPerHour = float64(d.suspected) / pairHours
-	f.FalseDeathsPerHour = float64(d.killed) / pairHours
+	d.falseSuspicions, d.falseDeaths = 0, 0
+	f.IdleBytesPerSecond = d.measureSendRate(idleDuration)
+	pairHours := idleDuration.Hours() * float64(o.Members) * float64(o.Members)
+	f.FalseSuspicionsPerHour = float64(d.falseSuspicions) / pairHours
+	f.FalseDeathsPerHour = float64(d.falseDeaths) / pairHours
 	o.Progress("changes")
-	f.SettingsPropagationTime = d.playChanges()
+	f.SettingsPropagationTime = d.measureChanges()
 	o.Progress("restarts")
-	f.RestartBytesPerSecond = d.playRestarts()
+	f.RestartBytesPerSecond = d.measureRestarts()
 	o.Progress("losses")
-	f.DetectionTime, f.FullDetectionTime = d.playLosses()
+	f.DetectionTime, f.FullDetectionTime = d.measureLosses()
 	return f
 }
 
-// rate plays a while and returns the bytes that a member sent in a second.
-func (d *domain) rate(span time.Duration) float64 {
-	d.bytes = 0
-	d.run(span)
-	return float64(d.bytes) / float64(len(d.nodes)) / span.Seconds()
+// measureSendRate advances the simulation and returns the mean bytes that a member
+// sent per second.
+func (d *domain) measureSendRate(span time.Duration) float64 {
+	d.sentBytes = 0
+	d.advance(span)
+	return float64(d.sentBytes) / float64(len(d.nodes)) / span.Seconds()
 }
 
-// any returns a process that runs.
-func (d *domain) any() *node {
+// randomNode returns a random running process.
+func (d *domain) randomNode() *node {
 	for {
 		if n := d.nodes[d.addrs[d.rng.IntN(len(d.addrs))]]; n != nil {
 			return n
@@ -99,21 +100,23 @@
 	}
 }
 
-func (d *domain) playChanges() Spread {
+// measureChanges changes the settings repeatedly and returns the propagation times.
+func (d *domain) measureChanges() Distribution {
 	var took []time.Duration
-	for v := range uint64(changes) {
+	for v := range uint64(changeCount) {
 		begun := d.now
-		d.force(d.any(), v+1)
-		for d.now < begun+changeEvery && !d.inForce(v+1) {
-			d.run(step)
+		d.applyVersion(d.randomNode(), v+1)
+		for d.now < begun+changeInterval && !d.allHaveVersion(v+1) {
+			d.advance(timeStep)
 		}
 		took = append(took, d.now-begun)
-		d.run(begun + changeEvery - d.now)
+		d.advance(begun + changeInterval - d.now)
 	}
-	return spread(took)
+	return newDistribution(took)
 }
 
-func (d *domain) inForce(version uint64) bool {
+// allHaveVersion reports whether all processes have applied a settings version.
+func (d *domain) allHaveVersion(version uint64) bool {
 	for _, n := range d.nodes {
 		if n.version < version {
 			return false
@@ -122,29 +125,30 @@
 	return true
 }
 
-// playRestarts starts processes again at their addresses, under new identities. The
-// new one has what another knows, as a node that joins.
-func (d *domain) playRestarts() float64 {
+// measureRestarts restarts processes at their addresses under new ids and returns the
+// mean bytes that a member sends per second. A new process syncs with a random one.
+func (d *domain) measureRestarts() float64 {
 	total := 0.0
-	for range restarts {
-		old := d.any()
+	for range restartCount {
+		old := d.randomNode()
 		n := d.start(old.addr)
 		n.version = old.version
-		d.compare(n)
-		total += d.rate(restartEvery)
+		d.syncWithRandomNode(n)
+		total += d.measureSendRate(restartInterval)
 	}
-	return total / restarts
+	return total / restartCount
 }
 
-func (d *domain) playLosses() (each, all Spread) {
+// measureLosses stops processes and returns the detection times, each and full.
+func (d *domain) measureLosses() (each, all Distribution) {
 	var noticed, last []time.Duration
-	for range losses {
-		n := d.any()
+	for range lossCount {
+		n := d.randomNode()
 		delete(d.nodes, n.addr)
 		begun := d.now
 		seen := map[*node]bool{}
-		for d.now < begun+lossEvery {
-			d.run(tick)
+		for d.now < begun+lossInterval {
+			d.advance(tickInterval)
 			for _, q := range d.nodes {
 				if q.dead[n.id] && !seen[q] {
 					seen[q] = true
@@ -156,20 +160,21 @@
 			}
 		}
 		for range len(d.nodes) - len(seen) {
-			noticed = append(noticed, lossEvery)
+			noticed = append(noticed, lossInterval)
 		}
 		if len(seen) < len(d.nodes) {
-			last = append(last, lossEvery)
+			last = append(last, lossInterval)
 		}
 	}
-	return spread(noticed), spread(last)
+	return newDistribution(noticed), newDistribution(last)
 }
 
-func spread(took []time.Duration) Spread {
+// newDistribution sorts the durations and summarizes them.
+func newDistribution(took []time.Duration) Distribution {
 	if len(took) == 0 {
-		return Spread{}
+		return Distribution{}
 	}
 	slices.Sort(took)
 	n := len(took)
-	return Spread{took[n/2], took[min(n-1, n*99/100)], took[n-1]}
+	return Distribution{took[n/2], took[min(n-1, n*99/100)], took[n-1]}
 }
