--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -69,13 +69,13 @@
 	}
 	t.Cleanup(func() {
 		for _, n := range f.Nodes {
-			if n.Proc != nil {
+			if n.Process != nil {
 				n.Signal(syscall.SIGCONT)
 				n.Signal(syscall.SIGKILL)
 			}
 		}
 		for _, s := range f.Servers {
-			if s.Proc != nil {
+			if s.Process != nil {
 				s.Signal(syscall.SIGKILL)
 			}
 		}
--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -28,7 +28,7 @@
 )
 
 // Proc is a process that was started.
-type Proc struct {
+type Process struct {
 	Name string
 	cmd  *exec.Cmd
 	done chan struct{}
@@ -36,13 +36,13 @@
 }
 
 // PID returns the process id.
-func (p *Proc) PID() int { return p.cmd.Process.Pid }
+func (p *Process) PID() int { return p.cmd.Process.Pid }
 
 // Signal sends a signal.
-func (p *Proc) Signal(s os.Signal) { _ = p.cmd.Process.Signal(s) }
+func (p *Process) Signal(s os.Signal) { _ = p.cmd.Process.Signal(s) }
 
 // Wait waits for the process to end; false if it takes longer than d.
-func (p *Proc) Wait(d time.Duration) bool {
+func (p *Process) Wait(d time.Duration) bool {
 	select {
 	case <-p.done:
 		return true
@@ -52,11 +52,11 @@
 }
 
 // Exit returns the exit code of an ended process.
-func (p *Proc) Exit() int { return p.cmd.ProcessState.ExitCode() }
+func (p *Process) Exit() int { return p.cmd.ProcessState.ExitCode() }
 
 // Node is a node process.
 type Node struct {
-	*Proc
+	*Process
 	Domain                     string
 	HTTP, Data, Control, Admin string
 	Folder                     string
@@ -67,7 +67,7 @@
 
 // Server is a stand-in backend server process.
 type Server struct {
-	*Proc
+	*Process
 	Service string
 	Addr    string
 	Node    *Node
@@ -91,7 +91,7 @@
 	return &Fleet{Dir: dir, Bin: bin}, nil
 }
 
-func (f *Fleet) start(name, command string, args ...string) (*Proc, error) {
+func (f *Fleet) start(name, command string, args ...string) (*Process, error) {
 	log, err := os.OpenFile(filepath.Join(f.Dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, fault.Wrap(fault.Internal, err, "cannot open a log")
@@ -101,7 +101,7 @@
 	if err := cmd.Start(); err != nil {
 		return nil, fault.Wrap(fault.Internal, err, "cannot start "+command)
 	}
-	p := &Proc{Name: name, cmd: cmd, done: make(chan struct{})}
+	p := &Process{Name: name, cmd: cmd, done: make(chan struct{})}
 	go func() {
 		p.err = cmd.Wait()
 		_ = log.Close()
@@ -216,7 +216,7 @@
 	if err != nil {
 		return err
 	}
-	n.Proc = p
+	n.Process = p
 	return Await(20*time.Second, func() error {
 		if p.Wait(0) {
 			return fault.New(fault.Internal, "node "+n.name+" ended, see its log in "+f.Dir)
@@ -275,7 +275,7 @@
 func (f *Fleet) RestartServer(s *Server) error {
 	name := strings.ReplaceAll(s.Service, "/", "-") + "-" + s.Node.Name
 	p, err := f.start(name, "umberstand", s.args...)
-	s.Proc = p
+	s.Process = p
 	return err
 }
 
@@ -392,21 +392,21 @@
 func (f *Fleet) Stop() error {
 	var bad []string
 	for _, n := range f.Nodes {
-		if n.Proc != nil {
+		if n.Process != nil {
 			n.Signal(syscall.SIGCONT)
 			n.Signal(syscall.SIGTERM)
 		}
 	}
 	for _, n := range f.Nodes {
-		if n.Proc != nil && !n.Wait(40*time.Second) {
+		if n.Process != nil && !n.Wait(40*time.Second) {
 			n.Signal(syscall.SIGKILL)
 			bad = append(bad, n.Name+" did not stop")
-		} else if n.Proc != nil && n.Exit() > 0 {
+		} else if n.Process != nil && n.Exit() > 0 {
 			bad = append(bad, fmt.Sprintf("%s exited with %d", n.Name, n.Exit()))
 		}
 	}
 	for _, s := range f.Servers {
-		if s.Proc != nil {
+		if s.Process != nil {
 			s.Signal(syscall.SIGCONT)
 			s.Signal(syscall.SIGTERM)
 			_ = s.Wait(5 * time.Second)
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -193,7 +193,7 @@
 // stopAll kills the nodes and stops the stand-ins and relays.
 func (f *fleet) stopAll() {
 	for _, m := range f.members {
-		if m.Node != nil && m.Proc != nil {
+		if m.Node != nil && m.Process != nil {
 			m.Signal(syscall.SIGKILL)
 			m.Wait(stopGrace)
 		}
