--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -52,7 +52,7 @@
 }
 
 // Exit returns the exit code of an ended process.
-func (p *Process) Exit() int { return p.cmd.ProcessState.ExitCode() }
+func (p *Process) ExitCode() int { return p.cmd.ProcessState.ExitCode() }
 
 // Node is a node process.
 type Node struct {
@@ -401,8 +401,8 @@
 		if n.Process != nil && !n.Wait(40*time.Second) {
 			n.Signal(syscall.SIGKILL)
 			bad = append(bad, n.Name+" did not stop")
-		} else if n.Process != nil && n.Exit() > 0 {
-			bad = append(bad, fmt.Sprintf("%s exited with %d", n.Name, n.Exit()))
+		} else if n.Process != nil && n.ExitCode() > 0 {
+			bad = append(bad, fmt.Sprintf("%s exited with %d", n.Name, n.ExitCode()))
 		}
 	}
 	for _, s := range f.Servers {
--- a/internal/soak/act.go
+++ b/internal/soak/act.go
@@ -112,7 +112,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.Wait(0) {
-		r.reportViolation("exit", "node %s exited unexpectedly with code %d", m.Name, m.Exit())
+		r.reportViolation("exit", "node %s exited unexpectedly with code %d", m.Name, m.ExitCode())
 	} else if s.Kind == StopProcess {
 		r.stopProcess(m)
 	} else {
@@ -152,7 +152,7 @@
 		m.Wait(stopGrace)
 		return
 	}
-	if code := m.Exit(); code != 0 {
+	if code := m.ExitCode(); code != 0 {
 		r.reportViolation("exit", "node %s exited with %d after SIGTERM", m.Name, code)
 	}
 }
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -23,7 +23,7 @@
 	r.checkSettings()
 	for _, m := range r.fleet.members {
 		if m.Wait(0) {
-			r.reportViolation("exit", "node %s exited unexpectedly with code %d", m.Name, m.Exit())
+			r.reportViolation("exit", "node %s exited unexpectedly with code %d", m.Name, m.ExitCode())
 		}
 	}
 }
