--- a/cmd/umberbench/surge.go
+++ b/cmd/umberbench/surge.go
@@ -304,7 +304,7 @@
 	}
 	var total, wasted float64
 	for _, s := range f.Servers {
-		if s.Wait(0) {
+		if s.WaitExit(0) {
 			continue
 		}
 		work, err := s.Work()
--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -129,7 +129,7 @@
 		ids := map[string]bool{}
 		var nodes []*harness.Node
 		for _, nd := range f.Nodes {
-			if nd.Folder != "" && !nd.Wait(0) {
+			if nd.Folder != "" && !nd.WaitExit(0) {
 				nodes = append(nodes, nd)
 			}
 		}
@@ -189,7 +189,7 @@
 	found := -1
 	f.g.Eventually(func() int {
 		for i, n := range f.Nodes {
-			if n.Wait(0) || contains(not, i) {
+			if n.WaitExit(0) || contains(not, i) {
 				continue
 			}
 			s, err := n.Status()
@@ -217,7 +217,7 @@
 	f.t.Helper()
 	f.g.Eventually(func() error {
 		for _, n := range f.Nodes {
-			if n.Wait(0) {
+			if n.WaitExit(0) {
 				continue
 			}
 			r := load.Run(load.Options{Entries: []string{n.HTTP}, Kinds: []load.Kind{kind(target, 3*time.Second)}, Phases: []load.Phase{{Rate: 1000, For: time.Millisecond}}})
@@ -240,7 +240,7 @@
 
 func (f *fleet) kill(n *harness.Node) {
 	n.Signal(syscall.SIGKILL)
-	if !n.Wait(5 * time.Second) {
+	if !n.WaitExit(5 * time.Second) {
 		f.t.Fatal("a killed process did not end")
 	}
 }
--- a/e2e/traffic_test.go
+++ b/e2e/traffic_test.go
@@ -67,7 +67,7 @@
 	// Callers use the nodes that stay.
 	r := f.underLoad(f.Entries()[:3], "suva/cover-desk/note", 5*time.Second, func() {
 		extra.Signal(syscall.SIGTERM)
-		f.g.Expect(extra.Wait(10 * time.Second)).To(gomega.BeTrue())
+		f.g.Expect(extra.WaitExit(10 * time.Second)).To(gomega.BeTrue())
 		f.g.Expect(extra.ExitCode()).To(gomega.BeZero())
 	})
 	f.allServed(r)
--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -42,7 +42,7 @@
 func (p *Process) Signal(s os.Signal) { _ = p.cmd.Process.Signal(s) }
 
 // Wait waits for the process to end; false if it takes longer than d.
-func (p *Process) Wait(d time.Duration) bool {
+func (p *Process) WaitExit(d time.Duration) bool {
 	select {
 	case <-p.done:
 		return true
@@ -218,7 +218,7 @@
 	}
 	n.Process = p
 	return Await(20*time.Second, func() error {
-		if p.Wait(0) {
+		if p.WaitExit(0) {
 			return fault.New(fault.Internal, "node "+n.name+" ended, see its log in "+f.Dir)
 		}
 		_, err := n.Status()
@@ -354,7 +354,7 @@
 func (f *Fleet) AwaitVersion(version uint64, d time.Duration) error {
 	return Await(d, func() error {
 		for _, n := range f.Nodes {
-			if n.Wait(0) {
+			if n.WaitExit(0) {
 				continue
 			}
 			s, err := n.Status()
@@ -398,7 +398,7 @@
 		}
 	}
 	for _, n := range f.Nodes {
-		if n.Process != nil && !n.Wait(40*time.Second) {
+		if n.Process != nil && !n.WaitExit(40*time.Second) {
 			n.Signal(syscall.SIGKILL)
 			bad = append(bad, n.Name+" did not stop")
 		} else if n.Process != nil && n.ExitCode() > 0 {
@@ -409,7 +409,7 @@
 		if s.Process != nil {
 			s.Signal(syscall.SIGCONT)
 			s.Signal(syscall.SIGTERM)
-			_ = s.Wait(5 * time.Second)
+			_ = s.WaitExit(5 * time.Second)
 		}
 	}
 	if len(bad) > 0 {
--- a/internal/soak/act.go
+++ b/internal/soak/act.go
@@ -111,13 +111,13 @@
 func (r *soakRun) restartProcess(m *member, s Step) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.Wait(0) {
+	if m.WaitExit(0) {
 		r.reportViolation("exit", "node %s exited unexpectedly with code %d", m.Name, m.ExitCode())
 	} else if s.Kind == StopProcess {
 		r.stopProcess(m)
 	} else {
 		m.Signal(syscall.SIGKILL)
-		m.Wait(stopGrace)
+		m.WaitExit(stopGrace)
 	}
 	if s.Kind.losesDisk() {
 		if err := os.RemoveAll(m.Folder); err != nil {
@@ -146,10 +146,10 @@
 // continues, so the timeout includes maxStepDuration.
 func (r *soakRun) stopProcess(m *member) {
 	m.Signal(syscall.SIGTERM)
-	if !m.Wait(stopTimeout + stopGrace + maxStepDuration) {
+	if !m.WaitExit(stopTimeout + stopGrace + maxStepDuration) {
 		r.reportViolation("exit", "node %s was still running %s after SIGTERM", m.Name, stopTimeout+stopGrace+maxStepDuration)
 		m.Signal(syscall.SIGKILL)
-		m.Wait(stopGrace)
+		m.WaitExit(stopGrace)
 		return
 	}
 	if code := m.ExitCode(); code != 0 {
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -22,7 +22,7 @@
 	r.checkDrains()
 	r.checkSettings()
 	for _, m := range r.fleet.members {
-		if m.Wait(0) {
+		if m.WaitExit(0) {
 			r.reportViolation("exit", "node %s exited unexpectedly with code %d", m.Name, m.ExitCode())
 		}
 	}
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -195,7 +195,7 @@
 	for _, m := range f.members {
 		if m.Node != nil && m.Process != nil {
 			m.Signal(syscall.SIGKILL)
-			m.Wait(stopGrace)
+			m.WaitExit(stopGrace)
 		}
 		for _, s := range m.servers {
 			s.Stop()
