--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -129,7 +129,7 @@
 		ids := map[string]bool{}
 		var nodes []*harness.Node
 		for _, nd := range f.Nodes {
-			if nd.Folder != "" && !nd.WaitExit(0) {
+			if nd.DataFolder != "" && !nd.WaitExit(0) {
 				nodes = append(nodes, nd)
 			}
 		}
@@ -236,7 +236,7 @@
 }
 
 // loseDisk removes a stopped node's data folder.
-func (f *fleet) loseDisk(n *harness.Node) { f.ok(os.RemoveAll(n.Folder)) }
+func (f *fleet) loseDisk(n *harness.Node) { f.ok(os.RemoveAll(n.DataFolder)) }
 
 func (f *fleet) kill(n *harness.Node) {
 	n.Signal(syscall.SIGKILL)
--- a/e2e/state_test.go
+++ b/e2e/state_test.go
@@ -120,7 +120,7 @@
 	before, err := n.Status()
 	f.ok(err)
 	f.kill(n)
-	path := filepath.Join(n.Folder, "group-0", "log")
+	path := filepath.Join(n.DataFolder, "group-0", "log")
 	b, err := os.ReadFile(path)
 	f.ok(err)
 	b[len(b)/2] ^= 4
--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -59,7 +59,7 @@
 	*Process
 	Domain                     string
 	HTTP, Data, Control, Admin string
-	Folder                     string
+	DataFolder                 string
 	file                       string
 	name                       string
 	spec                       NodeSpec
@@ -145,7 +145,7 @@
 	n := &Node{Domain: s.Domain, spec: s, name: fmt.Sprintf("%s-%d", s.Domain, len(f.Nodes)+1)}
 	n.file = filepath.Join(f.Dir, n.name+".toml")
 	if s.Disk {
-		n.Folder = filepath.Join(f.Dir, n.name+"-data")
+		n.DataFolder = filepath.Join(f.Dir, n.name+"-data")
 	}
 	if err := freeAddrs(&n.HTTP, &n.Data, &n.Control, &n.Admin); err != nil {
 		return nil, err
@@ -194,7 +194,7 @@
 		lines = append(lines, `bootstrap = ["`+strings.Join(boot, `", "`)+`"]`)
 	}
 	if s.Disk {
-		lines = append(lines, fmt.Sprintf("data_folder = %q", n.Folder))
+		lines = append(lines, fmt.Sprintf("data_folder = %q", n.DataFolder))
 	}
 	lines = append(lines, s.Extra...)
 	if s.Advertise != nil {
--- a/internal/soak/act.go
+++ b/internal/soak/act.go
@@ -120,7 +120,7 @@
 		m.WaitExit(stopGrace)
 	}
 	if s.Kind.losesDisk() {
-		if err := os.RemoveAll(m.Folder); err != nil {
+		if err := os.RemoveAll(m.DataFolder); err != nil {
 			r.reportViolation("soak", "cannot remove the data folder: %v", err)
 		}
 	}
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -209,7 +209,7 @@
 // tearLogs appends an incomplete record to the logs of a killed node, as a loss of
 // power during a write may leave it.
 func (m *member) tearLogs() error {
-	logs, err := filepath.Glob(filepath.Join(m.Folder, "group-*", "log"))
+	logs, err := filepath.Glob(filepath.Join(m.DataFolder, "group-*", "log"))
 	if err != nil {
 		return fault.Wrap(fault.Internal, err, "cannot list the logs")
 	}
