--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -116,7 +116,7 @@
 	// Disk gives the node a data folder.
 	Disk bool
 	// Extra are further lines of its settings file.
-	Extra []string
+	ExtraSettings []string
 	// Bootstrap are control addresses, by default of the first nodes.
 	Bootstrap []string
 	// Advertise returns the settings of the addresses that other nodes are told,
@@ -196,7 +196,7 @@
 	if s.Disk {
 		lines = append(lines, fmt.Sprintf("data_folder = %q", n.DataFolder))
 	}
-	lines = append(lines, s.Extra...)
+	lines = append(lines, s.ExtraSettings...)
 	if s.Advertise != nil {
 		more, err := s.Advertise(n.Data, n.Control)
 		if err != nil {
