--- a/cmd/umberbench/commit.go
+++ b/cmd/umberbench/commit.go
@@ -51,7 +51,7 @@
 
 func commit(f *harness.Fleet, o commitOptions) error {
 	for _, d := range kigaliDomains[:3] {
-		n, err := f.StartNode(harness.NodeSpec{Domain: d, Disk: true, ExtraSettings: []string{"replicas = 3", "shards = 4"}})
+		n, err := f.StartNode(harness.NodeSpec{Domain: d, HasDisk: true, ExtraSettings: []string{"replicas = 3", "shards = 4"}})
 		if err != nil {
 			return err
 		}
--- a/cmd/umberbench/fleet.go
+++ b/cmd/umberbench/fleet.go
@@ -56,7 +56,7 @@
 			if !place(d, i) {
 				continue
 			}
-			n, err := f.StartNode(harness.NodeSpec{Domain: domain, Disk: disk, ExtraSettings: []string{"replicas = 3", "shards = 2"}})
+			n, err := f.StartNode(harness.NodeSpec{Domain: domain, HasDisk: disk, ExtraSettings: []string{"replicas = 3", "shards = 2"}})
 			if err != nil {
 				return err
 			}
--- a/cmd/umberbench/hop.go
+++ b/cmd/umberbench/hop.go
@@ -28,7 +28,7 @@
 }
 
 func hop(f *harness.Fleet, o hopOptions) error {
-	entry, err := f.StartNode(harness.NodeSpec{Domain: "nyarugenge", Disk: true, ExtraSettings: []string{"replicas = 1"}})
+	entry, err := f.StartNode(harness.NodeSpec{Domain: "nyarugenge", HasDisk: true, ExtraSettings: []string{"replicas = 1"}})
 	if err != nil {
 		return err
 	}
--- a/cmd/umberbench/scale.go
+++ b/cmd/umberbench/scale.go
@@ -43,7 +43,7 @@
 
 func scaleOne(f *harness.Fleet, size int, o scaleOptions) error {
 	for i := range size {
-		spec := harness.NodeSpec{Domain: kigaliDomains[i%len(kigaliDomains)], Disk: i < 3, ExtraSettings: []string{"replicas = 3"}}
+		spec := harness.NodeSpec{Domain: kigaliDomains[i%len(kigaliDomains)], HasDisk: i < 3, ExtraSettings: []string{"replicas = 3"}}
 		if _, err := f.StartNode(spec); err != nil {
 			return err
 		}
--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -97,7 +97,7 @@
 
 func (f *fleet) node(domain string, disk bool, extra ...string) *harness.Node {
 	f.t.Helper()
-	n, err := f.StartNode(harness.NodeSpec{Domain: domain, Disk: disk, ExtraSettings: append([]string{`replace_after = "3s"`, "replicas = 3"}, extra...)})
+	n, err := f.StartNode(harness.NodeSpec{Domain: domain, HasDisk: disk, ExtraSettings: append([]string{`replace_after = "3s"`, "replicas = 3"}, extra...)})
 	f.ok(err)
 	return n
 }
--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -114,7 +114,7 @@
 type NodeSpec struct {
 	Domain string
 	// Disk gives the node a data folder.
-	Disk bool
+	HasDisk bool
 	// Extra are further lines of its settings file.
 	ExtraSettings []string
 	// Bootstrap are control addresses, by default of the first nodes.
@@ -144,7 +144,7 @@
 func (f *Fleet) tryNode(s NodeSpec) (*Node, error) {
 	n := &Node{Domain: s.Domain, spec: s, name: fmt.Sprintf("%s-%d", s.Domain, len(f.Nodes)+1)}
 	n.file = filepath.Join(f.Dir, n.name+".toml")
-	if s.Disk {
+	if s.HasDisk {
 		n.DataFolder = filepath.Join(f.Dir, n.name+"-data")
 	}
 	if err := freeAddrs(&n.HTTP, &n.Data, &n.Control, &n.Admin); err != nil {
@@ -193,7 +193,7 @@
 	if len(boot) > 0 {
 		lines = append(lines, `bootstrap = ["`+strings.Join(boot, `", "`)+`"]`)
 	}
-	if s.Disk {
+	if s.HasDisk {
 		lines = append(lines, fmt.Sprintf("data_folder = %q", n.DataFolder))
 	}
 	lines = append(lines, s.ExtraSettings...)
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -116,7 +116,7 @@
 	f.members = append(f.members, m)
 	domain := fmt.Sprintf("d%d", i%replicas+1)
 	n, err := f.StartNode(harness.NodeSpec{
-		Domain: domain, Disk: i < replicas, Advertise: m.startRelays,
+		Domain: domain, HasDisk: i < replicas, Advertise: m.startRelays,
 		ExtraSettings: []string{"replicas = 3", "min_voters = 2", `replace_after = "4s"`, fmt.Sprintf("stop_timeout = %q", stopTimeout), fmt.Sprintf("sync_hold = %q", m.syncHoldFile)},
 	})
 	m.Node = n
