--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -159,7 +159,7 @@
 
 // Move gives a node that is not running other addresses towards the other nodes.
 // Callers and operators find it where it was.
-func (f *Fleet) Move(n *Node) error {
+func (f *Fleet) MoveNode(n *Node) error {
 	if err := freeAddrs(&n.Data, &n.Control); err != nil {
 		return err
 	}
--- a/internal/soak/act.go
+++ b/internal/soak/act.go
@@ -125,7 +125,7 @@
 		}
 	}
 	if s.Kind == ReplaceNode {
-		if err := r.fleet.Move(m.Node); err != nil {
+		if err := r.fleet.MoveNode(m.Node); err != nil {
 			r.reportViolation("soak", "cannot move the node to other addresses: %v", err)
 		}
 	}
