--- a/e2e/state_test.go
+++ b/e2e/state_test.go
@@ -39,7 +39,7 @@
 		t.Logf("first change accepted %s after the kill", time.Since(started).Round(time.Millisecond))
 		f.g.Expect(time.Since(started)).To(gomega.BeNumerically("<", 4*time.Second))
 		f.g.Expect(v2).To(gomega.BeNumerically(">", v))
-		f.ok(f.Restart(f.Nodes[l]))
+		f.ok(f.RestartNode(f.Nodes[l]))
 		last = v2
 	}
 	f.ok(f.AwaitVersion(last, 5*time.Second))
@@ -85,7 +85,7 @@
 		lost := time.Now()
 		f.kill(f.Nodes[i])
 		f.loseDisk(f.Nodes[i])
-		f.ok(f.Restart(f.Nodes[i]))
+		f.ok(f.RestartNode(f.Nodes[i]))
 		f.voters(3)
 		after, err := f.Nodes[i].Status()
 		f.ok(err)
@@ -125,7 +125,7 @@
 	f.ok(err)
 	b[len(b)/2] ^= 4
 	f.ok(os.WriteFile(path, b, 0o644))
-	f.ok(f.Restart(n))
+	f.ok(f.RestartNode(n))
 	f.voters(3)
 	after, err := n.Status()
 	f.ok(err)
@@ -168,10 +168,10 @@
 		f.kill(n)
 	}
 	for _, n := range f.Nodes[:3] {
-		f.ok(f.Restart(n))
+		f.ok(f.RestartNode(n))
 	}
 	started := time.Now()
-	f.ok(f.Restart(plain))
+	f.ok(f.RestartNode(plain))
 	f.ok(f.AwaitVersion(v, 10*time.Second))
 	t.Logf("%d changes in force on a restarted node after %s", 500, time.Since(started).Round(time.Millisecond))
 }
--- a/e2e/traffic_test.go
+++ b/e2e/traffic_test.go
@@ -122,7 +122,7 @@
 	l := f.leader()
 	f.kill(f.Nodes[l])
 	time.Sleep(2 * time.Second)
-	f.ok(f.Restart(f.Nodes[l]))
+	f.ok(f.RestartNode(f.Nodes[l]))
 	wg.Wait()
 	runs := map[string]int{}
 	total := 0
--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -154,7 +154,7 @@
 		return nil, err
 	}
 	f.Nodes = append(f.Nodes, n)
-	return n, f.Restart(n)
+	return n, f.RestartNode(n)
 }
 
 // Move gives a node that is not running other addresses towards the other nodes.
@@ -211,7 +211,7 @@
 }
 
 // Restart starts a node's process, for the first time or again.
-func (f *Fleet) Restart(n *Node) error {
+func (f *Fleet) RestartNode(n *Node) error {
 	p, err := f.start(n.name, "umberthreadd", "--settings", n.file)
 	if err != nil {
 		return err
--- a/internal/soak/act.go
+++ b/internal/soak/act.go
@@ -135,7 +135,7 @@
 		}
 	}
 	time.Sleep(s.For)
-	if err := r.fleet.Restart(m.Node); err != nil {
+	if err := r.fleet.RestartNode(m.Node); err != nil {
 		r.reportViolation("start", "node %s failed to start: %v", m.Name, err)
 		return
 	}
