--- a/cmd/umberbench/commit.go
+++ b/cmd/umberbench/commit.go
@@ -59,7 +59,7 @@
 			return err
 		}
 	}
-	if err := f.Form(f.Nodes[0]); err != nil {
+	if err := f.FormReplicaGroups(f.Nodes[0]); err != nil {
 		return err
 	}
 	if err := awaitReplicas(f, 3); err != nil {
--- a/cmd/umberbench/fleet.go
+++ b/cmd/umberbench/fleet.go
@@ -67,7 +67,7 @@
 			}
 		}
 	}
-	if err := f.Form(f.Nodes[0]); err != nil {
+	if err := f.FormReplicaGroups(f.Nodes[0]); err != nil {
 		return err
 	}
 	return awaitReplicas(f, 3)
--- a/cmd/umberbench/hop.go
+++ b/cmd/umberbench/hop.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	if err := f.Form(entry); err != nil {
+	if err := f.FormReplicaGroups(entry); err != nil {
 		return err
 	}
 	if _, err := f.Configure(entry, hopTree, settings.Entries{}); err != nil {
--- a/cmd/umberbench/scale.go
+++ b/cmd/umberbench/scale.go
@@ -48,7 +48,7 @@
 			return err
 		}
 	}
-	if err := f.Form(f.Nodes[0]); err != nil {
+	if err := f.FormReplicaGroups(f.Nodes[0]); err != nil {
 		return err
 	}
 	if err := awaitReplicas(f, 3); err != nil {
--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -115,7 +115,7 @@
 	for _, d := range []string{"suva-a", "suva-b", "suva-c"} {
 		f.node(d, true)
 	}
-	f.ok(f.Form(f.Nodes[0]))
+	f.ok(f.FormReplicaGroups(f.Nodes[0]))
 	f.voters(3)
 	_, err := f.Configure(f.Nodes[0], tree, nil)
 	f.ok(err)
--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -311,7 +311,7 @@
 }
 
 // Form forms the replica groups on a node.
-func (f *Fleet) Form(n *Node) error {
+func (f *Fleet) FormReplicaGroups(n *Node) error {
 	var s node.ReplicaStatus
 	return ctl.NewClient(n.Admin).Post("/v1/replicas/form", nil, &s)
 }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -93,7 +93,7 @@
 			return f, err
 		}
 	}
-	if err := f.Form(f.members[0].Node); err != nil {
+	if err := f.FormReplicaGroups(f.members[0].Node); err != nil {
 		return f, err
 	}
 	if err := f.awaitVoters(); err != nil {
