--- a/cmd/umberbench/scale.go
+++ b/cmd/umberbench/scale.go
@@ -163,7 +163,7 @@
 func inForceAt(f *harness.Fleet, version uint64) (time.Time, error) {
 	var last time.Time
 	text := fmt.Sprintf("Version %d is in force.", version)
-	for _, a := range ctl.AskAll[[]node.Event](f.Admins(), "/v1/events", nil) {
+	for _, a := range ctl.AskAll[[]node.Event](f.AdminAddrs(), "/v1/events", nil) {
 		if a.Err != nil {
 			return last, a.Err
 		}
--- a/e2e/state_test.go
+++ b/e2e/state_test.go
@@ -103,7 +103,7 @@
 // neverAdded checks that no leader took a lost identity back into a group since it was lost.
 func (f *fleet) neverAdded(id string, since time.Time) {
 	f.t.Helper()
-	for _, a := range ctl.AskAll[[]node.Event](f.Admins(), "/v1/events", nil) {
+	for _, a := range ctl.AskAll[[]node.Event](f.AdminAddrs(), "/v1/events", nil) {
 		for _, e := range a.Value {
 			if e.Time.After(since) {
 				f.g.Expect(e.Text).NotTo(gomega.ContainSubstring("added " + id))
--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -370,7 +370,7 @@
 }
 
 // Admins returns the admin addresses of all nodes.
-func (f *Fleet) Admins() []string {
+func (f *Fleet) AdminAddrs() []string {
 	var out []string
 	for _, n := range f.Nodes {
 		out = append(out, n.Admin)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -98,7 +98,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &soakRun{options: o, fleet: f, callers: newCallers(f.Entries()), operators: &operators{adminAddresses: f.Admins()}}
+	r := &soakRun{options: o, fleet: f, callers: newCallers(f.Entries()), operators: &operators{adminAddresses: f.AdminAddrs()}}
 	if _, _, err := r.awaitService(recoveryTimeout); err != nil {
 		return nil, err
 	}
