--- a/cmd/umberbench/demo.go
+++ b/cmd/umberbench/demo.go
@@ -50,7 +50,7 @@
 		if err := awaitServed(f, demoKinds); err != nil {
 			return err
 		}
-		r = load.Run(load.Options{Entries: f.Entries(), Kinds: demoKinds, Phases: []load.Phase{{Rate: 60, For: 6 * time.Second}}})
+		r = load.Run(load.Options{Entries: f.HTTPAddrs(), Kinds: demoKinds, Phases: []load.Phase{{Rate: 60, For: 6 * time.Second}}})
 		served = printOutcomes(r)
 		fmt.Println("Stopping all gracefully.")
 		return nil
--- a/e2e/traffic_test.go
+++ b/e2e/traffic_test.go
@@ -42,7 +42,7 @@
 	f.server(f.Nodes[1], "suva/cover-desk", 16, "check=30ms", "note=30ms")
 	f.served("suva/cover-desk/note")
 	var before map[string]standin.Work
-	r := f.underLoad(f.Entries(), "suva/cover-desk/note", 6*time.Second, func() {
+	r := f.underLoad(f.HTTPAddrs(), "suva/cover-desk/note", 6*time.Second, func() {
 		f.ok(a.SetFaults(standin.Faults{State: "draining"}))
 		time.Sleep(2 * time.Second)
 		var err error
@@ -65,7 +65,7 @@
 	}
 	f.served("suva/cover-desk/note")
 	// Callers use the nodes that stay.
-	r := f.underLoad(f.Entries()[:3], "suva/cover-desk/note", 5*time.Second, func() {
+	r := f.underLoad(f.HTTPAddrs()[:3], "suva/cover-desk/note", 5*time.Second, func() {
 		extra.Signal(syscall.SIGTERM)
 		f.g.Expect(extra.WaitExit(10 * time.Second)).To(gomega.BeTrue())
 		f.g.Expect(extra.ExitCode()).To(gomega.BeZero())
@@ -83,7 +83,7 @@
 		f.server(n, "suva/cover-desk", 16, "check=30ms", "note=30ms")
 	}
 	f.served("suva/cover-desk/check")
-	r := f.underLoad(f.Entries()[:3], "suva/cover-desk/check", 5*time.Second, func() { f.kill(extra) })
+	r := f.underLoad(f.HTTPAddrs()[:3], "suva/cover-desk/check", 5*time.Second, func() { f.kill(extra) })
 	failed := 0
 	for _, o := range r.Outcomes {
 		if !o.OK {
@@ -113,7 +113,7 @@
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		r = load.Run(load.Options{Entries: f.Entries(), Kinds: []load.Kind{k}, Resends: 60, Pause: 100 * time.Millisecond, Phases: []load.Phase{{Rate: 60, For: 8 * time.Second}}})
+		r = load.Run(load.Options{Entries: f.HTTPAddrs(), Kinds: []load.Kind{k}, Resends: 60, Pause: 100 * time.Millisecond, Phases: []load.Phase{{Rate: 60, For: 8 * time.Second}}})
 	}()
 	time.Sleep(time.Second)
 	entry.Signal(syscall.SIGSTOP)
--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -379,7 +379,7 @@
 }
 
 // Entries returns the HTTP addresses of all nodes.
-func (f *Fleet) Entries() []string {
+func (f *Fleet) HTTPAddrs() []string {
 	var out []string
 	for _, n := range f.Nodes {
 		out = append(out, n.HTTP)
--- a/internal/soak/poison.go
+++ b/internal/soak/poison.go
@@ -73,7 +73,7 @@
 			go func() { defer servers.Done(); r.keepServerRunning(m, stop) }()
 		}
 	}
-	c := newCallers(r.fleet.Entries())
+	c := newCallers(r.fleet.HTTPAddrs())
 	refused := 0
 	var mu sync.Mutex
 	for end := time.Now().Add(poisonDuration); time.Now().Before(end); time.Sleep(poisonInterval) {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -98,7 +98,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &soakRun{options: o, fleet: f, callers: newCallers(f.Entries()), operators: &operators{adminAddresses: f.AdminAddrs()}}
+	r := &soakRun{options: o, fleet: f, callers: newCallers(f.HTTPAddrs()), operators: &operators{adminAddresses: f.AdminAddrs()}}
 	if _, _, err := r.awaitService(recoveryTimeout); err != nil {
 		return nil, err
 	}
@@ -180,7 +180,7 @@
 func (r *soakRun) awaitService(within time.Duration) (time.Duration, []string, error) {
 	start := time.Now()
 	var missed []string
-	probe := newCallers(r.fleet.Entries())
+	probe := newCallers(r.fleet.HTTPAddrs())
 	err := harness.Await(within, func() error {
 		for kind := range requestTypes {
 			for entry := range r.fleet.members {
