--- a/cmd/umberbench/commit.go
+++ b/cmd/umberbench/commit.go
@@ -65,7 +65,7 @@
 	if err := awaitReplicas(f, 3); err != nil {
 		return err
 	}
-	version, err := f.Configure(f.Nodes[0], commitTree, nil)
+	version, err := f.ApplySettings(f.Nodes[0], commitTree, nil)
 	if err != nil {
 		return err
 	}
--- a/cmd/umberbench/demo.go
+++ b/cmd/umberbench/demo.go
@@ -71,7 +71,7 @@
 	if err := startFleet(f, kigaliDomains, demoServices, func(d, s int) bool { return (d+s)%2 == 0 }); err != nil {
 		return err
 	}
-	_, err := f.Configure(f.Nodes[0], tree, nil)
+	_, err := f.ApplySettings(f.Nodes[0], tree, nil)
 	return err
 }
 
--- a/cmd/umberbench/hop.go
+++ b/cmd/umberbench/hop.go
@@ -43,7 +43,7 @@
 	if err := f.FormReplicaGroups(entry); err != nil {
 		return err
 	}
-	if _, err := f.Configure(entry, hopTree, settings.Entries{}); err != nil {
+	if _, err := f.ApplySettings(entry, hopTree, settings.Entries{}); err != nil {
 		return err
 	}
 	kinds := []load.Kind{{Target: "kigali/rosters/echo", Share: 1, Deadline: 2 * time.Second, Body: 500}}
--- a/cmd/umberbench/surge.go
+++ b/cmd/umberbench/surge.go
@@ -160,7 +160,7 @@
 	if err := startFleet(f, kigaliDomains, surgeServices, func(int, int) bool { return true }); err != nil {
 		return nil, err
 	}
-	if _, err := f.Configure(f.Nodes[0], string(tree), settings.Entries{"kigali#policy": policy}); err != nil {
+	if _, err := f.ApplySettings(f.Nodes[0], string(tree), settings.Entries{"kigali#policy": policy}); err != nil {
 		return nil, err
 	}
 	var kinds []load.Kind
--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -117,7 +117,7 @@
 	}
 	f.ok(f.FormReplicaGroups(f.Nodes[0]))
 	f.voters(3)
-	_, err := f.Configure(f.Nodes[0], tree, nil)
+	_, err := f.ApplySettings(f.Nodes[0], tree, nil)
 	f.ok(err)
 }
 
--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -318,7 +318,7 @@
 
 // Configure makes a change that replaces the fleets of a document and sets
 // entries, and waits until all nodes have it.
-func (f *Fleet) Configure(n *Node, toml string, set settings.Entries) (uint64, error) {
+func (f *Fleet) ApplySettings(n *Node, toml string, set settings.Entries) (uint64, error) {
 	tree, err := settings.ParseTOML([]byte(toml))
 	if err != nil {
 		return 0, err
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -99,7 +99,7 @@
 	if err := f.awaitVoters(); err != nil {
 		return f, err
 	}
-	if _, err := f.Configure(f.members[0].Node, initialSettings, nil); err != nil {
+	if _, err := f.ApplySettings(f.members[0].Node, initialSettings, nil); err != nil {
 		return f, err
 	}
 	for i, m := range f.members {
