--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -27,12 +27,12 @@
 	"github.com/umberthread/umberthread/settings"
 )
 
-// Proc is a process that was started.
+// Process is a started child process that logs to a file.
 type Process struct {
-	Name string
-	cmd  *exec.Cmd
-	done chan struct{}
-	err  error
+	Name   string
+	cmd    *exec.Cmd
+	exited chan struct{}
+	err    error
 }
 
 // PID returns the process id.
@@ -41,26 +41,26 @@
 // Signal sends a signal.
 func (p *Process) Signal(s os.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// Wait waits for the process to end; false if it takes longer than d.
+// WaitExit waits up to d for the process to exit and reports whether it has.
 func (p *Process) WaitExit(d time.Duration) bool {
 	select {
-	case <-p.done:
+	case <-p.exited:
 		return true
 	case <-time.After(d):
 		return false
 	}
 }
 
-// Exit returns the exit code of an ended process.
+// ExitCode returns the exit code of an exited process.
 func (p *Process) ExitCode() int { return p.cmd.ProcessState.ExitCode() }
 
-// Node is a node process.
+// Node is a node process and its addresses.
 type Node struct {
 	*Process
 	Domain                     string
 	HTTP, Data, Control, Admin string
 	DataFolder                 string
-	file                       string
+	settingsFile               string
 	name                       string
 	spec                       NodeSpec
 }
@@ -74,7 +74,7 @@
 	args    []string
 }
 
-// Fleet is a set of processes under one folder.
+// Fleet is a set of processes with their files in one folder.
 type Fleet struct {
 	Dir     string
 	Bin     string
@@ -82,30 +82,31 @@
 	Servers []*Server
 }
 
-// New returns an empty fleet that uses the commands in bin.
+// New returns an empty fleet that uses the binaries in folder bin.
 func New(bin string) (*Fleet, error) {
 	dir, err := os.MkdirTemp("", "umberthread-")
 	if err != nil {
-		return nil, fault.Wrap(fault.Internal, err, "cannot make a folder")
+		return nil, fault.Wrap(fault.Internal, err, "cannot create the fleet's folder")
 	}
 	return &Fleet{Dir: dir, Bin: bin}, nil
 }
 
-func (f *Fleet) start(name, command string, args ...string) (*Process, error) {
+// startProcess starts a binary of the fleet with its output in a log file.
+func (f *Fleet) startProcess(name, command string, args ...string) (*Process, error) {
 	log, err := os.OpenFile(filepath.Join(f.Dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return nil, fault.Wrap(fault.Internal, err, "cannot open a log")
+		return nil, fault.Wrap(fault.Internal, err, "cannot open a log file")
 	}
 	cmd := exec.Command(filepath.Join(f.Bin, command), args...)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		return nil, fault.Wrap(fault.Internal, err, "cannot start "+command)
 	}
-	p := &Process{Name: name, cmd: cmd, done: make(chan struct{})}
+	p := &Process{Name: name, cmd: cmd, exited: make(chan struct{})}
 	go func() {
 		p.err = cmd.Wait()
 		_ = log.Close()
-		close(p.done)
+		close(p.exited)
 	}()
 	return p, nil
 }
@@ -113,27 +114,27 @@
 // NodeSpec describes a node to start.
 type NodeSpec struct {
 	Domain string
-	// Disk gives the node a data folder.
+	// HasDisk gives the node a data folder.
 	HasDisk bool
-	// Extra are further lines of its settings file.
+	// ExtraSettings are additional lines of its settings file.
 	ExtraSettings []string
-	// Bootstrap are control addresses, by default of the first nodes.
+	// Bootstrap holds control addresses; nil selects those of the first nodes.
 	Bootstrap []string
-	// Advertise returns the settings of the addresses that other nodes are told,
-	// given the node's own; nil for none.
+	// Advertise returns the settings lines for the advertised addresses, given the
+	// node's own; nil for none.
 	Advertise func(data, control string) ([]string, error)
 }
 
-// portTries is how often a node is started: another process may take a port
-// between its choice and the start.
-const portTries = 3
+// maxStartAttempts bounds the attempts to start a node: another process may take a
+// port between its selection and the start.
+const maxStartAttempts = 3
 
-// StartNode starts a node and waits until its admin address answers.
+// StartNode starts a node and waits until its admin address responds.
 func (f *Fleet) StartNode(s NodeSpec) (*Node, error) {
 	var n *Node
 	var err error
-	for range portTries {
-		if n, err = f.tryNode(s); err == nil {
+	for range maxStartAttempts {
+		if n, err = f.tryStartNode(s); err == nil {
 			return n, nil
 		}
 		f.Nodes = slices.DeleteFunc(f.Nodes, func(o *Node) bool { return o == n })
@@ -141,13 +142,14 @@
 	return nil, err
 }
 
-func (f *Fleet) tryNode(s NodeSpec) (*Node, error) {
+// tryStartNode starts a node at free addresses. On an error the node may be left in Nodes.
+func (f *Fleet) tryStartNode(s NodeSpec) (*Node, error) {
 	n := &Node{Domain: s.Domain, spec: s, name: fmt.Sprintf("%s-%d", s.Domain, len(f.Nodes)+1)}
-	n.file = filepath.Join(f.Dir, n.name+".toml")
+	n.settingsFile = filepath.Join(f.Dir, n.name+".toml")
 	if s.HasDisk {
 		n.DataFolder = filepath.Join(f.Dir, n.name+"-data")
 	}
-	if err := freeAddrs(&n.HTTP, &n.Data, &n.Control, &n.Admin); err != nil {
+	if err := assignFreeAddrs(&n.HTTP, &n.Data, &n.Control, &n.Admin); err != nil {
 		return nil, err
 	}
 	if err := f.writeSettings(n); err != nil {
@@ -157,16 +159,17 @@
 	return n, f.RestartNode(n)
 }
 
-// Move gives a node that is not running other addresses towards the other nodes.
-// Callers and operators find it where it was.
+// MoveNode assigns new data and control addresses to a stopped node. Its addresses for
+// callers and operators stay.
 func (f *Fleet) MoveNode(n *Node) error {
-	if err := freeAddrs(&n.Data, &n.Control); err != nil {
+	if err := assignFreeAddrs(&n.Data, &n.Control); err != nil {
 		return err
 	}
 	return f.writeSettings(n)
 }
 
-func freeAddrs(addrs ...*string) error {
+// assignFreeAddrs sets each address to a free one on the loopback interface.
+func assignFreeAddrs(addrs ...*string) error {
 	for _, a := range addrs {
 		addr, err := sock.FreeAddr()
 		if err != nil {
@@ -177,21 +180,21 @@
 	return nil
 }
 
-// writeSettings writes a node's settings file, with the addresses that the first
-// nodes have now.
+// writeSettings writes a node's settings file, with the current addresses of the first
+// nodes.
 func (f *Fleet) writeSettings(n *Node) error {
 	s := n.spec
-	boot := s.Bootstrap
-	if boot == nil {
-		boot = f.bootstrap(n)
+	bootstrap := s.Bootstrap
+	if bootstrap == nil {
+		bootstrap = f.bootstrapAddrs(n)
 	}
 	lines := []string{
 		fmt.Sprintf("name = %q", n.name), fmt.Sprintf("failure_domain = %q", s.Domain),
 		fmt.Sprintf("http = %q", n.HTTP), fmt.Sprintf("data = %q", n.Data),
 		fmt.Sprintf("control = %q", n.Control), fmt.Sprintf("admin = %q", n.Admin),
 	}
-	if len(boot) > 0 {
-		lines = append(lines, `bootstrap = ["`+strings.Join(boot, `", "`)+`"]`)
+	if len(bootstrap) > 0 {
+		lines = append(lines, `bootstrap = ["`+strings.Join(bootstrap, `", "`)+`"]`)
 	}
 	if s.HasDisk {
 		lines = append(lines, fmt.Sprintf("data_folder = %q", n.DataFolder))
@@ -204,47 +207,49 @@
 		}
 		lines = append(lines, more...)
 	}
-	if err := os.WriteFile(n.file, []byte(strings.Join(lines, "\n")), 0o644); err != nil {
+	if err := os.WriteFile(n.settingsFile, []byte(strings.Join(lines, "\n")), 0o644); err != nil {
 		return fault.Wrap(fault.Internal, err, "cannot write settings")
 	}
 	return nil
 }
 
-// Restart starts a node's process, for the first time or again.
+// RestartNode starts the process of a node that is not running and waits until its
+// admin address responds.
 func (f *Fleet) RestartNode(n *Node) error {
-	p, err := f.start(n.name, "umberthreadd", "--settings", n.file)
+	p, err := f.startProcess(n.name, "umberthreadd", "--settings", n.settingsFile)
 	if err != nil {
 		return err
 	}
 	n.Process = p
 	return Await(20*time.Second, func() error {
 		if p.WaitExit(0) {
-			return fault.New(fault.Internal, "node "+n.name+" ended, see its log in "+f.Dir)
+			return fault.New(fault.Internal, "node "+n.name+" exited during its start; see its log in "+f.Dir)
 		}
 		_, err := n.Status()
 		return err
 	})
 }
 
-// bootstrap returns the control addresses of the first nodes other than self.
-func (f *Fleet) bootstrap(self *Node) []string {
-	const most = 3
+// bootstrapAddrs returns the control addresses of the first nodes other than self.
+func (f *Fleet) bootstrapAddrs(self *Node) []string {
+	const maxAddrs = 3
 	var out []string
 	for _, n := range f.Nodes {
-		if n != self && len(out) < most {
+		if n != self && len(out) < maxAddrs {
 			out = append(out, n.Control)
 		}
 	}
 	return out
 }
 
-// Status asks a node for its state.
+// Status queries the node's status through its admin address.
 func (n *Node) Status() (node.Status, error) {
 	var s node.Status
 	return s, ctl.NewClient(n.Admin).Get("/v1/status", nil, &s)
 }
 
-// ServerSpec describes a stand-in to start beside a node.
+// ServerSpec describes a stand-in to start beside a node. Kinds are in the format of
+// standin.ParseKind.
 type ServerSpec struct {
 	Service     string
 	Slots       int
@@ -271,15 +276,15 @@
 	return srv, f.RestartServer(srv)
 }
 
-// RestartServer starts a stand-in's process, for the first time or again.
+// RestartServer starts the process of a stand-in that is not running.
 func (f *Fleet) RestartServer(s *Server) error {
 	name := strings.ReplaceAll(s.Service, "/", "-") + "-" + s.Node.Name
-	p, err := f.start(name, "umberstand", s.args...)
+	p, err := f.startProcess(name, "umberstand", s.args...)
 	s.Process = p
 	return err
 }
 
-// SetFaults changes what a stand-in does wrong.
+// SetFaults replaces the injected faults of a stand-in.
 func (s *Server) SetFaults(f standin.Faults) error {
 	b, err := json.Marshal(f)
 	if err != nil {
@@ -287,7 +292,7 @@
 	}
 	resp, err := http.Post("http://"+s.Addr+"/_standin/faults", "application/json", bytes.NewReader(b))
 	if err != nil {
-		return fault.Wrap(fault.PeerLost, err, "stand-in does not answer")
+		return fault.Wrap(fault.PeerLost, err, "stand-in does not respond")
 	}
 	return resp.Body.Close()
 }
@@ -296,28 +301,28 @@
 func (s *Server) Work() (map[string]standin.Work, error) {
 	resp, err := http.Get("http://" + s.Addr + "/_standin/work")
 	if err != nil {
-		return nil, fault.Wrap(fault.PeerLost, err, "stand-in does not answer")
+		return nil, fault.Wrap(fault.PeerLost, err, "stand-in does not respond")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	b, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return nil, fault.Wrap(fault.PeerLost, err, "stand-in broke off")
+		return nil, fault.Wrap(fault.PeerLost, err, "cannot read the response of the stand-in")
 	}
 	var w map[string]standin.Work
 	if err := json.Unmarshal(b, &w); err != nil {
-		return nil, fault.Wrap(fault.Protocol, err, "malformed work")
+		return nil, fault.Wrap(fault.Protocol, err, "malformed request statistics")
 	}
 	return w, nil
 }
 
-// Form forms the replica groups on a node.
+// FormReplicaGroups forms the replica groups, with the given node as the first replica.
 func (f *Fleet) FormReplicaGroups(n *Node) error {
 	var s node.ReplicaStatus
 	return ctl.NewClient(n.Admin).Post("/v1/replicas/form", nil, &s)
 }
 
-// Configure makes a change that replaces the fleets of a document and sets
-// entries, and waits until all nodes have it.
+// ApplySettings sets the entries of a TOML document and further entries, waits until
+// all running nodes have the new version, and returns it.
 func (f *Fleet) ApplySettings(n *Node, toml string, set settings.Entries) (uint64, error) {
 	tree, err := settings.ParseTOML([]byte(toml))
 	if err != nil {
@@ -350,7 +355,7 @@
 	return version, f.AwaitVersion(version, 20*time.Second)
 }
 
-// AwaitVersion waits until all running nodes have a version.
+// AwaitVersion waits up to d until all running nodes have a settings version.
 func (f *Fleet) AwaitVersion(version uint64, d time.Duration) error {
 	return Await(d, func() error {
 		for _, n := range f.Nodes {
@@ -369,7 +374,7 @@
 	})
 }
 
-// Admins returns the admin addresses of all nodes.
+// AdminAddrs returns the admin addresses of all nodes.
 func (f *Fleet) AdminAddrs() []string {
 	var out []string
 	for _, n := range f.Nodes {
@@ -378,7 +383,7 @@
 	return out
 }
 
-// Entries returns the HTTP addresses of all nodes.
+// HTTPAddrs returns the HTTP addresses of all nodes.
 func (f *Fleet) HTTPAddrs() []string {
 	var out []string
 	for _, n := range f.Nodes {
@@ -387,8 +392,8 @@
 	return out
 }
 
-// Stop stops all processes gracefully and reports those that did not exit
-// with 0. A frozen process is thawed first.
+// Stop stops all processes gracefully, paused ones too, and returns an error that names
+// the nodes that did not exit with 0. On success it removes the folder.
 func (f *Fleet) Stop() error {
 	var bad []string
 	for _, n := range f.Nodes {
@@ -416,12 +421,12 @@
 		return fault.New(fault.Internal, strings.Join(bad, "; ")+"; logs in "+f.Dir)
 	}
 	if err := os.RemoveAll(f.Dir); err != nil {
-		return fault.Wrap(fault.Internal, err, "cannot remove the folder")
+		return fault.Wrap(fault.Internal, err, "cannot remove the fleet's folder")
 	}
 	return nil
 }
 
-// Await calls f until it succeeds, or returns its last failure.
+// Await calls f until it succeeds; after d, it returns the last error.
 func Await(d time.Duration, f func() error) error {
 	deadline := time.Now().Add(d)
 	for {
