--- a/cmd/umberstand/main.go
+++ b/cmd/umberstand/main.go
@@ -33,7 +33,7 @@
 }
 
 func run(o standin.Options, kinds []string) error {
-	o.Kinds = map[string]standin.Kind{}
+	o.Kinds = map[string]standin.KindBehavior{}
 	for _, s := range kinds {
 		name, k, err := standin.ParseKind(s)
 		if err != nil {
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -62,7 +62,7 @@
 	return nil
 }
 
-func startStandin(t testing.TB, n *testNode, service string, slots int, kinds map[string]standin.Kind) *standin.Server {
+func startStandin(t testing.TB, n *testNode, service string, slots int, kinds map[string]standin.KindBehavior) *standin.Server {
 	t.Helper()
 	s, err := standin.Start(standin.Options{
 		Service: service, Listen: "127.0.0.1:0", Node: n.opt.HTTP, Slots: slots, Connections: 4 * slots,
--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -114,7 +114,7 @@
 }
 
 func (c *crew) startServer(n *testNode, i int, service, addr string) *standin.Server {
-	kinds := map[string]standin.Kind{
+	kinds := map[string]standin.KindBehavior{
 		"open": {Time: 20 * time.Millisecond}, "confirm": {Time: 20 * time.Millisecond}, "day": {Time: 20 * time.Millisecond},
 		"slow":  {Time: 400 * time.Millisecond},
 		"chain": {Time: time.Millisecond, Calls: []string{"kigali/rosters/day" + poisonPath}},
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -22,7 +22,7 @@
 )
 
 // Kind is what the server does for one request kind.
-type Kind struct {
+type KindBehavior struct {
 	// Time is the mean time in a slot, calls not counted.
 	Time time.Duration
 	// Calls are the targets, fleet/service/kind, called one after another.
@@ -32,32 +32,32 @@
 }
 
 // ParseKind reads name=time[:target[*count],...][@answer bytes].
-func ParseKind(s string) (string, Kind, error) {
+func ParseKind(s string) (string, KindBehavior, error) {
 	bad := fault.Newf(fault.BadRequest, "kind %q; allowed is name=time[:target[*count],...][@bytes]", s)
 	name, rest, ok := strings.Cut(s, "=")
 	if !ok {
-		return "", Kind{}, bad
+		return "", KindBehavior{}, bad
 	}
-	k := Kind{Answer: 256}
+	k := KindBehavior{Answer: 256}
 	rest, size, ok := strings.Cut(rest, "@")
 	if ok {
 		n, err := strconv.Atoi(size)
 		if err != nil {
-			return "", Kind{}, bad
+			return "", KindBehavior{}, bad
 		}
 		k.Answer = n
 	}
 	span, calls, _ := strings.Cut(rest, ":")
 	var err error
 	if k.Time, err = time.ParseDuration(span); err != nil {
-		return "", Kind{}, bad
+		return "", KindBehavior{}, bad
 	}
 	for c := range strings.SplitSeq(calls, ",") {
 		target, count, _ := strings.Cut(c, "*")
 		n := 1
 		if count != "" {
 			if n, err = strconv.Atoi(count); err != nil {
-				return "", Kind{}, bad
+				return "", KindBehavior{}, bad
 			}
 		}
 		for range n {
@@ -76,7 +76,7 @@
 	Node        string
 	Slots       int
 	Connections int
-	Kinds       map[string]Kind
+	Kinds       map[string]KindBehavior
 	// Renew is the time between announcements.
 	Renew time.Duration
 	// ColdStart is how long the server is several times slower at first.
@@ -293,7 +293,7 @@
 }
 
 // run works for a request in a slot. It writes the answer if it fails.
-func (s *Server) run(ctx context.Context, w http.ResponseWriter, r *http.Request, body []byte, k Kind, f *Faults) int {
+func (s *Server) run(ctx context.Context, w http.ResponseWriter, r *http.Request, body []byte, k KindBehavior, f *Faults) int {
 	select {
 	case s.slots <- struct{}{}:
 	case <-ctx.Done():
@@ -327,7 +327,7 @@
 }
 
 // span draws a service time: half of the mean is fixed, half exponential.
-func (s *Server) span(k Kind, f *Faults) time.Duration {
+func (s *Server) span(k KindBehavior, f *Faults) time.Duration {
 	d := float64(k.Time) * (0.5 + 0.5*rand.ExpFloat64())
 	if f.Slow > 0 {
 		d *= f.Slow
@@ -390,7 +390,7 @@
 
 // answer writes the answer: the request's id, so that a crossed one shows,
 // the size of the body received, and filling.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, k Kind, received int) {
+func (s *Server) answer(w http.ResponseWriter, r *http.Request, k KindBehavior, received int) {
 	id := r.Header.Get("Umber-Request-Id")
 	head := id + " " + strconv.Itoa(received) + "\n"
 	fill := strings.Repeat("x", max(0, k.Answer-len(head)))
