--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -115,9 +115,9 @@
 
 func (c *crew) startServer(n *testNode, i int, service, addr string) *standin.Server {
 	kinds := map[string]standin.KindBehavior{
-		"open": {Time: 20 * time.Millisecond}, "confirm": {Time: 20 * time.Millisecond}, "day": {Time: 20 * time.Millisecond},
-		"slow":  {Time: 400 * time.Millisecond},
-		"chain": {Time: time.Millisecond, Calls: []string{"kigali/rosters/day" + poisonPath}},
+		"open": {MeanServiceTime: 20 * time.Millisecond}, "confirm": {MeanServiceTime: 20 * time.Millisecond}, "day": {MeanServiceTime: 20 * time.Millisecond},
+		"slow":  {MeanServiceTime: 400 * time.Millisecond},
+		"chain": {MeanServiceTime: time.Millisecond, Calls: []string{"kigali/rosters/day" + poisonPath}},
 	}
 	var s *standin.Server
 	gomega.NewWithT(c.t).Eventually(func() (err error) {
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -45,12 +45,12 @@
 `
 
 var frontKinds = map[string]standin.KindBehavior{
-	"read": {Time: 5 * time.Millisecond, Calls: []string{"soak/deep/look", "soak/deep/look"}, Answer: responseBytes},
-	"note": {Time: 15 * time.Millisecond, Answer: responseBytes},
-	"book": {Time: 15 * time.Millisecond, Answer: responseBytes},
+	"read": {MeanServiceTime: 5 * time.Millisecond, Calls: []string{"soak/deep/look", "soak/deep/look"}, Answer: responseBytes},
+	"note": {MeanServiceTime: 15 * time.Millisecond, Answer: responseBytes},
+	"book": {MeanServiceTime: 15 * time.Millisecond, Answer: responseBytes},
 }
 
-var deepKinds = map[string]standin.KindBehavior{"look": {Time: 4 * time.Millisecond, Answer: responseBytes}}
+var deepKinds = map[string]standin.KindBehavior{"look": {MeanServiceTime: 4 * time.Millisecond, Answer: responseBytes}}
 
 // member is a node with its relays and its local backend.
 type member struct {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -24,7 +24,7 @@
 // Kind is what the server does for one request kind.
 type KindBehavior struct {
 	// Time is the mean time in a slot, calls not counted.
-	Time time.Duration
+	MeanServiceTime time.Duration
 	// Calls are the targets, fleet/service/kind, called one after another.
 	Calls []string
 	// Answer is the size of the answer in bytes.
@@ -49,7 +49,7 @@
 	}
 	span, calls, _ := strings.Cut(rest, ":")
 	var err error
-	if k.Time, err = time.ParseDuration(span); err != nil {
+	if k.MeanServiceTime, err = time.ParseDuration(span); err != nil {
 		return "", KindBehavior{}, bad
 	}
 	for c := range strings.SplitSeq(calls, ",") {
@@ -328,7 +328,7 @@
 
 // span draws a service time: half of the mean is fixed, half exponential.
 func (s *Server) span(k KindBehavior, f *Faults) time.Duration {
-	d := float64(k.Time) * (0.5 + 0.5*rand.ExpFloat64())
+	d := float64(k.MeanServiceTime) * (0.5 + 0.5*rand.ExpFloat64())
 	if f.Slow > 0 {
 		d *= f.Slow
 	}
