--- a/internal/node/chain_test.go
+++ b/internal/node/chain_test.go
@@ -40,11 +40,11 @@
 	useSettings(t, chainSettings, first, second, third, entry)
 	servers = []*standin.Server{
 		startStandin(t, first, "kigali/sheets", 16, map[string]standin.KindBehavior{
-			"open": {MeanServiceTime: time.Millisecond, Calls: []string{"kigali/locations/find"}, Answer: 1024}}),
+			"open": {MeanServiceTime: time.Millisecond, Calls: []string{"kigali/locations/find"}, ResponseBytes: 1024}}),
 		startStandin(t, second, "kigali/locations", 16, map[string]standin.KindBehavior{
-			"find": {MeanServiceTime: time.Millisecond, Calls: []string{"kigali/rosters/day"}, Answer: 300}}),
+			"find": {MeanServiceTime: time.Millisecond, Calls: []string{"kigali/rosters/day"}, ResponseBytes: 300}}),
 		startStandin(t, third, "kigali/rosters", 16, map[string]standin.KindBehavior{
-			"day": {MeanServiceTime: time.Millisecond, Answer: 300}}),
+			"day": {MeanServiceTime: time.Millisecond, ResponseBytes: 300}}),
 	}
 	entry.serves("kigali/sheets", 1)
 	first.serves("kigali/locations", 1)
--- a/internal/node/input_test.go
+++ b/internal/node/input_test.go
@@ -29,7 +29,7 @@
 func startVault(t *testing.T) (*testNode, *standin.Server) {
 	n := startNode(t, "suva-a", nil, nil)
 	useSettings(t, inputSettings, n)
-	s := startStandin(t, n, "suva/doc-vault", 4, map[string]standin.KindBehavior{"upload": {Answer: 64}, "small": {Answer: 64}})
+	s := startStandin(t, n, "suva/doc-vault", 4, map[string]standin.KindBehavior{"upload": {ResponseBytes: 64}, "small": {ResponseBytes: 64}})
 	n.serves("suva/doc-vault", 1)
 	return n, s
 }
--- a/internal/node/ownserver_test.go
+++ b/internal/node/ownserver_test.go
@@ -18,7 +18,7 @@
 	other := startNode(t, "a", []string{entry.opt.Control}, nil)
 	const doc = "[fleet.f.service.s]\nretry_ratio = 1.0\n[fleet.f.service.s.kind.k]\nretry_budget = 3"
 	useSettings(t, doc, entry, other)
-	kinds := map[string]standin.KindBehavior{"k": {MeanServiceTime: time.Millisecond, Answer: 64}}
+	kinds := map[string]standin.KindBehavior{"k": {MeanServiceTime: time.Millisecond, ResponseBytes: 64}}
 	own := startStandin(t, entry, "f/s", 4, kinds)
 	startStandin(t, other, "f/s", 4, kinds)
 	entry.serves("f/s", 2)
--- a/internal/node/partition_test.go
+++ b/internal/node/partition_test.go
@@ -141,7 +141,7 @@
 	g.Expect(r.Reason).To(gomega.Equal("none"))
 	for _, n := range nodes {
 		n.awaitConfigVersion(1)
-		startStandin(t, n, "suva/cover-desk", 8, map[string]standin.KindBehavior{"check": {MeanServiceTime: time.Millisecond, Answer: 64}})
+		startStandin(t, n, "suva/cover-desk", 8, map[string]standin.KindBehavior{"check": {MeanServiceTime: time.Millisecond, ResponseBytes: 64}})
 	}
 	for _, n := range nodes {
 		n.serves("suva/cover-desk", 3)
--- a/internal/node/replica_test.go
+++ b/internal/node/replica_test.go
@@ -142,7 +142,7 @@
 	for _, n := range nodes {
 		n.awaitConfigVersion(1)
 	}
-	server := startStandin(t, nodes[2], "suva/claims-hub", 8, map[string]standin.KindBehavior{"lodge": {MeanServiceTime: 20 * time.Millisecond, Answer: 64}})
+	server := startStandin(t, nodes[2], "suva/claims-hub", 8, map[string]standin.KindBehavior{"lodge": {MeanServiceTime: 20 * time.Millisecond, ResponseBytes: 64}})
 	for _, n := range nodes {
 		n.serves("suva/claims-hub", 1)
 	}
--- a/internal/node/return_test.go
+++ b/internal/node/return_test.go
@@ -55,7 +55,7 @@
 	first := startNode(t, "a", nil, short)
 	second := startNode(t, "b", []string{first.opt.Control}, nil)
 	useSettings(t, "[fleet.f.service.s]\n[fleet.f.service.s.kind.k]\n", first, second)
-	kinds := map[string]standin.KindBehavior{"k": {MeanServiceTime: time.Millisecond, Answer: 64}}
+	kinds := map[string]standin.KindBehavior{"k": {MeanServiceTime: time.Millisecond, ResponseBytes: 64}}
 	startStandin(t, first, "f/s", 4, kinds)
 	second.serves("f/s", 1)
 	stopped := make(chan bool, 1)
@@ -95,7 +95,7 @@
 	g := gomega.NewWithT(t)
 	n := startNode(t, "a", nil, nil)
 	useSettings(t, "[fleet.f.service.s]\n[fleet.f.service.s.kind.k]\n", n)
-	startStandin(t, n, "f/s", 4, map[string]standin.KindBehavior{"k": {MeanServiceTime: time.Millisecond, Answer: 64}})
+	startStandin(t, n, "f/s", 4, map[string]standin.KindBehavior{"k": {MeanServiceTime: time.Millisecond, ResponseBytes: 64}})
 	n.serves("f/s", 1)
 	c := &call{service: "f/s", depth: 1, lastFailure: fault.Overload, scope: scope.New(time.Now().Add(time.Minute))}
 	q := &route.Query{Service: "f/s", Now: n.clock(), Avoid: n.routes.Load().Services["f/s"].Own[0]}
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -45,12 +45,12 @@
 `
 
 var frontKinds = map[string]standin.KindBehavior{
-	"read": {MeanServiceTime: 5 * time.Millisecond, Calls: []string{"soak/deep/look", "soak/deep/look"}, Answer: responseBytes},
-	"note": {MeanServiceTime: 15 * time.Millisecond, Answer: responseBytes},
-	"book": {MeanServiceTime: 15 * time.Millisecond, Answer: responseBytes},
+	"read": {MeanServiceTime: 5 * time.Millisecond, Calls: []string{"soak/deep/look", "soak/deep/look"}, ResponseBytes: responseBytes},
+	"note": {MeanServiceTime: 15 * time.Millisecond, ResponseBytes: responseBytes},
+	"book": {MeanServiceTime: 15 * time.Millisecond, ResponseBytes: responseBytes},
 }
 
-var deepKinds = map[string]standin.KindBehavior{"look": {MeanServiceTime: 4 * time.Millisecond, Answer: responseBytes}}
+var deepKinds = map[string]standin.KindBehavior{"look": {MeanServiceTime: 4 * time.Millisecond, ResponseBytes: responseBytes}}
 
 // member is a node with its relays and its local backend.
 type member struct {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -28,7 +28,7 @@
 	// Calls are the targets, fleet/service/kind, called one after another.
 	Calls []string
 	// Answer is the size of the answer in bytes.
-	Answer int
+	ResponseBytes int
 }
 
 // ParseKind reads name=time[:target[*count],...][@answer bytes].
@@ -38,14 +38,14 @@
 	if !ok {
 		return "", KindBehavior{}, bad
 	}
-	k := KindBehavior{Answer: 256}
+	k := KindBehavior{ResponseBytes: 256}
 	rest, size, ok := strings.Cut(rest, "@")
 	if ok {
 		n, err := strconv.Atoi(size)
 		if err != nil {
 			return "", KindBehavior{}, bad
 		}
-		k.Answer = n
+		k.ResponseBytes = n
 	}
 	span, calls, _ := strings.Cut(rest, ":")
 	var err error
@@ -393,7 +393,7 @@
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, k KindBehavior, received int) {
 	id := r.Header.Get("Umber-Request-Id")
 	head := id + " " + strconv.Itoa(received) + "\n"
-	fill := strings.Repeat("x", max(0, k.Answer-len(head)))
+	fill := strings.Repeat("x", max(0, k.ResponseBytes-len(head)))
 	w.Header().Set("Content-Length", strconv.Itoa(len(head)+len(fill)))
 	if _, err := io.WriteString(w, head+fill); err != nil {
 		return
