--- a/cmd/umberstand/main.go
+++ b/cmd/umberstand/main.go
@@ -18,7 +18,7 @@
 	app := kingpin.New("umberstand", "A stand-in backend server: it announces itself to its node and works for a time on each request.")
 	var o standin.Options
 	app.Flag("service", "Its service, fleet/service.").Required().StringVar(&o.Service)
-	app.Flag("listen", "Where it takes requests.").Default("127.0.0.1:0").StringVar(&o.Listen)
+	app.Flag("listen", "Where it takes requests.").Default("127.0.0.1:0").StringVar(&o.ListenAddr)
 	app.Flag("node", "Where its node takes HTTP.").Required().StringVar(&o.Node)
 	app.Flag("slots", "Requests that it works on at once.").Default("8").IntVar(&o.Slots)
 	app.Flag("connections", "Connections that it takes.").Default("64").IntVar(&o.Connections)
--- a/internal/soak/act.go
+++ b/internal/soak/act.go
@@ -162,7 +162,7 @@
 func (m *member) crashServer(away time.Duration, r *soakRun) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.options.Listen = m.currentServer().Addr()
+	m.options.ListenAddr = m.currentServer().Addr()
 	m.currentServer().Stop()
 	time.Sleep(away)
 	if err := m.launchServer(); err != nil {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -72,7 +72,7 @@
 // Options are the settings of a Server.
 type Options struct {
 	Service     string
-	Listen      string
+	ListenAddr  string
 	Node        string
 	Slots       int
 	Connections int
@@ -135,7 +135,7 @@
 
 // Start listens and announces the server to its node until Stop.
 func Start(o Options) (*Server, error) {
-	ln, err := net.Listen("tcp", o.Listen)
+	ln, err := net.Listen("tcp", o.ListenAddr)
 	if err != nil {
 		return nil, fault.Wrap(fault.InvalidSetting, err, "cannot listen")
 	}
