--- a/cmd/umberstand/main.go
+++ b/cmd/umberstand/main.go
@@ -19,7 +19,7 @@
 	var o standin.Options
 	app.Flag("service", "Its service, fleet/service.").Required().StringVar(&o.Service)
 	app.Flag("listen", "Where it takes requests.").Default("127.0.0.1:0").StringVar(&o.ListenAddr)
-	app.Flag("node", "Where its node takes HTTP.").Required().StringVar(&o.Node)
+	app.Flag("node", "Where its node takes HTTP.").Required().StringVar(&o.NodeAddr)
 	app.Flag("slots", "Requests that it works on at once.").Default("8").IntVar(&o.Slots)
 	app.Flag("connections", "Connections that it takes.").Default("64").IntVar(&o.Connections)
 	app.Flag("cold-start", "How long it is slower at first.").Default("0s").DurationVar(&o.ColdStart)
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -65,7 +65,7 @@
 func startStandin(t testing.TB, n *testNode, service string, slots int, kinds map[string]standin.KindBehavior) *standin.Server {
 	t.Helper()
 	s, err := standin.Start(standin.Options{
-		Service: service, ListenAddr: "127.0.0.1:0", Node: n.opt.HTTP, Slots: slots, Connections: 4 * slots,
+		Service: service, ListenAddr: "127.0.0.1:0", NodeAddr: n.opt.HTTP, Slots: slots, Connections: 4 * slots,
 		Kinds: kinds, Renew: 200 * time.Millisecond,
 	})
 	if err != nil {
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -152,7 +152,7 @@
 // between groups of one node per failure domain.
 func (m *member) startServer(i int, endsOn func(path string, body []byte) bool) error {
 	m.options = standin.Options{
-		Service: frontService, ListenAddr: "127.0.0.1:0", Node: m.HTTP, Slots: serverSlots, Connections: 4 * serverSlots,
+		Service: frontService, ListenAddr: "127.0.0.1:0", NodeAddr: m.HTTP, Slots: serverSlots, Connections: 4 * serverSlots,
 		Kinds: frontKinds, Renew: 300 * time.Millisecond, EndsOn: endsOn,
 	}
 	if i/replicas%2 == 1 {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -73,7 +73,7 @@
 type Options struct {
 	Service     string
 	ListenAddr  string
-	Node        string
+	NodeAddr    string
 	Slots       int
 	Connections int
 	Kinds       map[string]KindBehavior
@@ -235,7 +235,7 @@
 	if err != nil {
 		return
 	}
-	resp, err := s.client.Post("http://"+s.opt.Node+"/v1/announce", "application/json", bytes.NewReader(body))
+	resp, err := s.client.Post("http://"+s.opt.NodeAddr+"/v1/announce", "application/json", bytes.NewReader(body))
 	if err != nil {
 		return
 	}
@@ -354,7 +354,7 @@
 
 // call calls a further service through the node, as part of the request.
 func (s *Server) call(ctx context.Context, w http.ResponseWriter, r *http.Request, target string) int {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.opt.Node+"/call/"+target, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.opt.NodeAddr+"/call/"+target, nil)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return http.StatusInternalServerError
