--- a/cmd/umberstand/main.go
+++ b/cmd/umberstand/main.go
@@ -25,7 +25,7 @@
 	app.Flag("cold-start", "How long it is slower at first.").Default("0s").DurationVar(&o.ColdStart)
 	kinds := app.Flag("kind", "A request kind: name=time[:target[*count],...][@answer bytes]. Repeat for more.").Required().Strings()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
-	o.Renew = time.Second
+	o.AnnounceInterval = time.Second
 	if err := run(o, *kinds); err != nil {
 		fmt.Fprintln(os.Stderr, "umberstand:", err)
 		os.Exit(fault.CodeOf(err).Exit())
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -66,7 +66,7 @@
 	t.Helper()
 	s, err := standin.Start(standin.Options{
 		Service: service, ListenAddr: "127.0.0.1:0", NodeAddr: n.opt.HTTP, Slots: slots, Connections: 4 * slots,
-		Kinds: kinds, Renew: 200 * time.Millisecond,
+		Kinds: kinds, AnnounceInterval: 200 * time.Millisecond,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -78,7 +78,7 @@
 	Connections int
 	Kinds       map[string]KindBehavior
 	// Renew is the time between announcements.
-	Renew time.Duration
+	AnnounceInterval time.Duration
 	// ColdStart is how long the server is several times slower at first.
 	ColdStart time.Duration
 	// EndsOn tells which requests end the server as soon as it runs them, by path
@@ -139,8 +139,8 @@
 	if err != nil {
 		return nil, fault.Wrap(fault.InvalidSetting, err, "cannot listen")
 	}
-	if o.Renew == 0 {
-		o.Renew = time.Second
+	if o.AnnounceInterval == 0 {
+		o.AnnounceInterval = time.Second
 	}
 	s := &Server{
 		opt: o, ln: ln, slots: make(chan struct{}, o.Slots), started: time.Now(), stop: make(chan struct{}),
@@ -211,7 +211,7 @@
 
 func (s *Server) announceLoop() {
 	s.announce()
-	t := time.NewTicker(s.opt.Renew)
+	t := time.NewTicker(s.opt.AnnounceInterval)
 	defer t.Stop()
 	for {
 		select {
