--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -123,7 +123,7 @@
 	gomega.NewWithT(c.t).Eventually(func() (err error) {
 		s, err = standin.Start(standin.Options{
 			Service: service, ListenAddr: addr, NodeAddr: n.opt.HTTP, Slots: 20, Connections: 80, AnnounceInterval: 200 * time.Millisecond,
-			Kinds: kinds, EndsOn: func(path string, body []byte) bool {
+			Kinds: kinds, CrashOn: func(path string, body []byte) bool {
 				if !endsOnPoison(path, body) {
 					return false
 				}
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -153,7 +153,7 @@
 func (m *member) startServer(i int, endsOn func(path string, body []byte) bool) error {
 	m.options = standin.Options{
 		Service: frontService, ListenAddr: "127.0.0.1:0", NodeAddr: m.HTTP, Slots: serverSlots, Connections: 4 * serverSlots,
-		Kinds: frontKinds, AnnounceInterval: 300 * time.Millisecond, EndsOn: endsOn,
+		Kinds: frontKinds, AnnounceInterval: 300 * time.Millisecond, CrashOn: endsOn,
 	}
 	if i/replicas%2 == 1 {
 		m.options.Service, m.options.Kinds = deepService, deepKinds
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -83,7 +83,7 @@
 	ColdStart time.Duration
 	// EndsOn tells which requests end the server as soon as it runs them, by path
 	// and body; nil for none.
-	EndsOn func(path string, body []byte) bool
+	CrashOn func(path string, body []byte) bool
 }
 
 // Faults are what can be set while the server runs.
@@ -303,7 +303,7 @@
 	defer func() { <-s.slots }()
 	id := r.Header.Get("Umber-Request-Id")
 	s.began(id, r.Header.Get("Idempotency-Key"))
-	if s.opt.EndsOn != nil && s.opt.EndsOn(r.URL.Path, body) {
+	if s.opt.CrashOn != nil && s.opt.CrashOn(r.URL.Path, body) {
 		s.Stop()
 		panic(http.ErrAbortHandler)
 	}
