--- a/cmd/umberbench/surge.go
+++ b/cmd/umberbench/surge.go
@@ -204,11 +204,11 @@
 	}
 	switch scenario {
 	case scenarioSlow, scenarioBoth:
-		set(rosters, standin.Faults{Slow: 4})
+		set(rosters, standin.Faults{SlowdownFactor: 4})
 	case scenarioGrayFail:
 		set(rosters[:1], standin.Faults{Fail: 0.9})
 	case scenarioGraySlow:
-		set(rosters[:1], standin.Faults{Slow: 10})
+		set(rosters[:1], standin.Faults{SlowdownFactor: 10})
 	case scenarioHalf:
 		for _, s := range rosters[:len(rosters)/2] {
 			if begin {
--- a/internal/soak/act.go
+++ b/internal/soak/act.go
@@ -102,7 +102,7 @@
 // serverFaults returns the stand-in's faults for a step kind.
 func serverFaults(k StepKind) standin.Faults {
 	if k == ServerSlowdown {
-		return standin.Faults{Slow: slowdownFactor}
+		return standin.Faults{SlowdownFactor: slowdownFactor}
 	}
 	return standin.Faults{Fail: 0.5}
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -89,7 +89,7 @@
 // Faults are what can be set while the server runs.
 type Faults struct {
 	// Slow multiplies the service times; 0 means 1.
-	Slow float64 `json:"slow"`
+	SlowdownFactor float64 `json:"slow"`
 	// Fail is the share of requests answered with 500 at once.
 	Fail float64 `json:"fail"`
 	// Hang makes every request wait until it is canceled.
@@ -329,8 +329,8 @@
 // span draws a service time: half of the mean is fixed, half exponential.
 func (s *Server) span(k KindBehavior, f *Faults) time.Duration {
 	d := float64(k.MeanServiceTime) * (0.5 + 0.5*rand.ExpFloat64())
-	if f.Slow > 0 {
-		d *= f.Slow
+	if f.SlowdownFactor > 0 {
+		d *= f.SlowdownFactor
 	}
 	if time.Since(s.started) < s.opt.ColdStart {
 		d *= coldFactor
