--- a/cmd/umberbench/surge.go
+++ b/cmd/umberbench/surge.go
@@ -206,7 +206,7 @@
 	case scenarioSlow, scenarioBoth:
 		set(rosters, standin.Faults{SlowdownFactor: 4})
 	case scenarioGrayFail:
-		set(rosters[:1], standin.Faults{Fail: 0.9})
+		set(rosters[:1], standin.Faults{FailureRate: 0.9})
 	case scenarioGraySlow:
 		set(rosters[:1], standin.Faults{SlowdownFactor: 10})
 	case scenarioHalf:
--- a/internal/soak/act.go
+++ b/internal/soak/act.go
@@ -104,7 +104,7 @@
 	if k == ServerSlowdown {
 		return standin.Faults{SlowdownFactor: slowdownFactor}
 	}
-	return standin.Faults{Fail: 0.5}
+	return standin.Faults{FailureRate: 0.5}
 }
 
 // restartProcess stops a node's process as the step requires and starts it again.
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -91,7 +91,7 @@
 	// Slow multiplies the service times; 0 means 1.
 	SlowdownFactor float64 `json:"slow"`
 	// Fail is the share of requests answered with 500 at once.
-	Fail float64 `json:"fail"`
+	FailureRate float64 `json:"fail"`
 	// Hang makes every request wait until it is canceled.
 	Hang bool `json:"hang"`
 	// State overrides the announced state.
@@ -266,7 +266,7 @@
 		return
 	}
 	f := s.faults.Load()
-	if f.Fail > 0 && rand.Float64() < f.Fail {
+	if f.FailureRate > 0 && rand.Float64() < f.FailureRate {
 		http.Error(w, "failed", http.StatusInternalServerError)
 		return
 	}
