--- a/e2e/traffic_test.go
+++ b/e2e/traffic_test.go
@@ -43,7 +43,7 @@
 	f.served("suva/cover-desk/note")
 	var before map[string]standin.Work
 	r := f.underLoad(f.HTTPAddrs(), "suva/cover-desk/note", 6*time.Second, func() {
-		f.ok(a.SetFaults(standin.Faults{State: "draining"}))
+		f.ok(a.SetFaults(standin.Faults{AnnouncedState: "draining"}))
 		time.Sleep(2 * time.Second)
 		var err error
 		before, err = a.Work()
--- a/internal/node/honest_test.go
+++ b/internal/node/honest_test.go
@@ -20,7 +20,7 @@
 func TestRefusalBelowIsNotThisRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	entry, servers := startChain(t)
-	servers[2].SetFaults(standin.Faults{State: "draining"})
+	servers[2].SetFaults(standin.Faults{AnnouncedState: "draining"})
 	g.Eventually(func() string { return entry.call("kigali/sheets/open", "", nil, nil).problem().Reason }, 5*time.Second).
 		Should(gomega.Equal("no-backend"))
 	r := entry.call("kigali/sheets/open", "told", nil, nil)
--- a/internal/node/return_test.go
+++ b/internal/node/return_test.go
@@ -28,7 +28,7 @@
 	g := gomega.NewWithT(t)
 	nodes, servers := startChainNodes(t)
 	second, entry := nodes[1], nodes[3]
-	servers[2].SetFaults(standin.Faults{State: "draining"})
+	servers[2].SetFaults(standin.Faults{AnnouncedState: "draining"})
 	second.without("kigali/rosters")
 	entry.without("kigali/rosters")
 	done := make(chan result, 1)
--- a/internal/soak/act.go
+++ b/internal/soak/act.go
@@ -190,7 +190,7 @@
 	m.mu.Lock()
 	s, starts := m.currentServer(), m.processStarts
 	m.mu.Unlock()
-	s.SetFaults(standin.Faults{State: "draining"})
+	s.SetFaults(standin.Faults{AnnouncedState: "draining"})
 	time.Sleep(drainGracePeriod)
 	before := executionCount(s)
 	time.Sleep(step.For)
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -95,7 +95,7 @@
 	// Hang makes every request wait until it is canceled.
 	Hang bool `json:"hang"`
 	// State overrides the announced state.
-	State string `json:"state"`
+	AnnouncedState string `json:"state"`
 }
 
 // Work is what was done for one request id.
@@ -224,7 +224,7 @@
 }
 
 func (s *Server) announce() {
-	state := s.faults.Load().State
+	state := s.faults.Load().AnnouncedState
 	if state == "" {
 		state = "serving"
 	}
