--- a/e2e/traffic_test.go
+++ b/e2e/traffic_test.go
@@ -41,7 +41,7 @@
 	a := f.server(f.Nodes[0], "suva/cover-desk", 16, "check=30ms", "note=30ms")
 	f.server(f.Nodes[1], "suva/cover-desk", 16, "check=30ms", "note=30ms")
 	f.served("suva/cover-desk/note")
-	var before map[string]standin.Work
+	var before map[string]standin.RequestStats
 	r := f.underLoad(f.HTTPAddrs(), "suva/cover-desk/note", 6*time.Second, func() {
 		f.ok(a.SetFaults(standin.Faults{AnnouncedState: "draining"}))
 		time.Sleep(2 * time.Second)
--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -298,7 +298,7 @@
 }
 
 // Work returns the work that a stand-in did, by request id.
-func (s *Server) Work() (map[string]standin.Work, error) {
+func (s *Server) Work() (map[string]standin.RequestStats, error) {
 	resp, err := http.Get("http://" + s.Addr + "/_standin/work")
 	if err != nil {
 		return nil, fault.Wrap(fault.PeerLost, err, "stand-in does not respond")
@@ -308,7 +308,7 @@
 	if err != nil {
 		return nil, fault.Wrap(fault.PeerLost, err, "cannot read the response of the stand-in")
 	}
-	var w map[string]standin.Work
+	var w map[string]standin.RequestStats
 	if err := json.Unmarshal(b, &w); err != nil {
 		return nil, fault.Wrap(fault.Protocol, err, "malformed request statistics")
 	}
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -99,7 +99,7 @@
 }
 
 // Work is what was done for one request id.
-type Work struct {
+type RequestStats struct {
 	// Runs counts the executions that began.
 	Runs int `json:"runs"`
 	// Done counts those that were answered whole.
@@ -122,7 +122,7 @@
 	stopOnce sync.Once
 
 	mu   sync.Mutex
-	work map[string]*Work
+	work map[string]*RequestStats
 	keys map[string]int
 
 	served atomic.Int64
@@ -144,7 +144,7 @@
 	}
 	s := &Server{
 		opt: o, ln: ln, slots: make(chan struct{}, o.Slots), started: time.Now(), stop: make(chan struct{}),
-		work: map[string]*Work{}, keys: map[string]int{},
+		work: map[string]*RequestStats{}, keys: map[string]int{},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}},
 	}
 	s.faults.Store(&Faults{})
@@ -171,10 +171,10 @@
 }
 
 // Work returns the work done by request id.
-func (s *Server) Work() map[string]Work {
+func (s *Server) Work() map[string]RequestStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make(map[string]Work, len(s.work))
+	out := make(map[string]RequestStats, len(s.work))
 	for id, w := range s.work {
 		out[id] = *w
 	}
@@ -408,7 +408,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.work[id] == nil {
-		s.work[id] = &Work{}
+		s.work[id] = &RequestStats{}
 	}
 	s.work[id].Runs++
 	if key != "" {
