--- a/e2e/traffic_test.go
+++ b/e2e/traffic_test.go
@@ -130,8 +130,8 @@
 		work, err := s.Work()
 		f.ok(err)
 		for id, w := range work {
-			runs[id] += w.Runs
-			total += w.Runs
+			runs[id] += w.Executions
+			total += w.Executions
 		}
 	}
 	served := 0
--- a/internal/node/honest_test.go
+++ b/internal/node/honest_test.go
@@ -27,7 +27,7 @@
 	g.Expect(r.problem().Run).To(gomega.Equal("unknown"))
 	g.Expect(r.header.Get(HeaderRun)).To(gomega.Equal("unknown"))
 	g.Expect(r.problem().RetryAfterMs).To(gomega.BeNumerically(">", 0))
-	g.Expect(servers[0].Work()["told"].Runs).To(gomega.Equal(1))
+	g.Expect(servers[0].Work()["told"].Executions).To(gomega.Equal(1))
 	g.Expect(servers[2].Work()).NotTo(gomega.HaveKey("told"))
 }
 
--- a/internal/soak/act.go
+++ b/internal/soak/act.go
@@ -206,7 +206,7 @@
 func executionCount(s *standin.Server) int {
 	n := 0
 	for _, w := range s.Work() {
-		n += w.Runs
+		n += w.Executions
 	}
 	return n
 }
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -38,7 +38,7 @@
 				continue
 			}
 			for id, w := range s.Work() {
-				out[id] += w.Runs
+				out[id] += w.Executions
 			}
 		}
 	}
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -101,7 +101,7 @@
 // Work is what was done for one request id.
 type RequestStats struct {
 	// Runs counts the executions that began.
-	Runs int `json:"runs"`
+	Executions int `json:"runs"`
 	// Done counts those that were answered whole.
 	Done int `json:"done"`
 	// Us is the time worked, calls not counted, in microseconds.
@@ -410,7 +410,7 @@
 	if s.work[id] == nil {
 		s.work[id] = &RequestStats{}
 	}
-	s.work[id].Runs++
+	s.work[id].Executions++
 	if key != "" {
 		s.keys[key]++
 	}
