--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -103,7 +103,7 @@
 	// Runs counts the executions that began.
 	Executions int `json:"runs"`
 	// Done counts those that were answered whole.
-	Done int `json:"done"`
+	Responses int `json:"done"`
 	// Us is the time worked, calls not counted, in microseconds.
 	Us int64 `json:"us"`
 }
@@ -400,7 +400,7 @@
 	}
 	s.served.Add(1)
 	s.mu.Lock()
-	s.work[id].Done++
+	s.work[id].Responses++
 	s.mu.Unlock()
 }
 
