--- a/internal/node/chain_test.go
+++ b/internal/node/chain_test.go
@@ -61,7 +61,7 @@
 	g.Expect(r.body).To(gomega.HavePrefix("request-1 5\n"))
 	g.Expect(r.body).To(gomega.HaveLen(1024))
 	for _, s := range servers {
-		g.Expect(s.Work()).To(gomega.HaveKey("request-1"))
+		g.Expect(s.RequestStats()).To(gomega.HaveKey("request-1"))
 	}
 }
 
--- a/internal/node/honest_test.go
+++ b/internal/node/honest_test.go
@@ -27,8 +27,8 @@
 	g.Expect(r.problem().Run).To(gomega.Equal("unknown"))
 	g.Expect(r.header.Get(HeaderRun)).To(gomega.Equal("unknown"))
 	g.Expect(r.problem().RetryAfterMs).To(gomega.BeNumerically(">", 0))
-	g.Expect(servers[0].Work()["told"].Executions).To(gomega.Equal(1))
-	g.Expect(servers[2].Work()).NotTo(gomega.HaveKey("told"))
+	g.Expect(servers[0].RequestStats()["told"].Executions).To(gomega.Equal(1))
+	g.Expect(servers[2].RequestStats()).NotTo(gomega.HaveKey("told"))
 }
 
 // fakePeer is a node that does with each request what the test says.
--- a/internal/node/return_test.go
+++ b/internal/node/return_test.go
@@ -33,7 +33,7 @@
 	entry.without("kigali/rosters")
 	done := make(chan result, 1)
 	go func() { done <- entry.call("kigali/sheets/open", "waits", nil, nil) }()
-	g.Eventually(func() int { return len(servers[1].Work()) }, 5*time.Second, time.Millisecond).Should(gomega.BeNumerically(">", 0))
+	g.Eventually(func() int { return len(servers[1].RequestStats()) }, 5*time.Second, time.Millisecond).Should(gomega.BeNumerically(">", 0))
 	began := time.Now()
 	refused := entry.call("kigali/rosters/day", "", nil, nil)
 	g.Expect(refused.problem().Reason).To(gomega.Equal("no-backend"))
--- a/internal/soak/act.go
+++ b/internal/soak/act.go
@@ -205,7 +205,7 @@
 // executionCount returns the number of executions started by a stand-in.
 func executionCount(s *standin.Server) int {
 	n := 0
-	for _, w := range s.Work() {
+	for _, w := range s.RequestStats() {
 		n += w.Executions
 	}
 	return n
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -37,7 +37,7 @@
 			if s.Service() != frontService {
 				continue
 			}
-			for id, w := range s.Work() {
+			for id, w := range s.RequestStats() {
 				out[id] += w.Executions
 			}
 		}
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -171,7 +171,7 @@
 }
 
 // Work returns the work done by request id.
-func (s *Server) Work() map[string]RequestStats {
+func (s *Server) RequestStats() map[string]RequestStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[string]RequestStats, len(s.work))
@@ -253,7 +253,7 @@
 }
 
 func (s *Server) serveWork(w http.ResponseWriter, _ *http.Request) {
-	_ = json.NewEncoder(w).Encode(s.Work())
+	_ = json.NewEncoder(w).Encode(s.RequestStats())
 }
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
