--- a/internal/node/replica_test.go
+++ b/internal/node/replica_test.go
@@ -166,7 +166,7 @@
 		}()
 	}
 	wg.Wait()
-	g.Expect(server.KeyRuns()[key]).To(gomega.Equal(1))
+	g.Expect(server.ExecutionsByKey()[key]).To(gomega.Equal(1))
 	other := nodes[0].call("suva/claims-hub/lodge", "", []byte("other"), map[string]string{HeaderKey: key})
 	g.Expect(other.problem().Reason).To(gomega.Equal("key-mismatch"))
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -182,7 +182,7 @@
 }
 
 // KeyRuns returns how often each Idempotency-Key was run.
-func (s *Server) KeyRuns() map[string]int {
+func (s *Server) ExecutionsByKey() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[string]int, len(s.keys))
