--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -196,7 +196,7 @@
 func (s *Server) Served() int64 { return s.served.Load() }
 
 // Peak returns the most requests that were in the server at once.
-func (s *Server) Peak() int64 { return s.peak.Load() }
+func (s *Server) PeakInFlight() int64 { return s.peak.Load() }
 
 // Ended is closed once the server has ended.
 func (s *Server) Ended() <-chan struct{} { return s.stop }
