--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -144,7 +144,7 @@
 // keepServer starts a backend server anew each time it has ended.
 func (c *crew) keepServer(n *testNode, i int, s *standin.Server, done <-chan struct{}) {
 	for {
-		<-s.Ended()
+		<-s.Done()
 		c.mu.Lock()
 		c.ends = append(c.ends, time.Now())
 		c.mu.Unlock()
--- a/internal/soak/poison.go
+++ b/internal/soak/poison.go
@@ -108,7 +108,7 @@
 func (r *soakRun) keepServerRunning(m *member, stop <-chan struct{}) {
 	for {
 		select {
-		case <-m.currentServer().Ended():
+		case <-m.currentServer().Done():
 			m.crashServer(crashDowntime, r)
 			continue
 		default:
@@ -116,7 +116,7 @@
 		select {
 		case <-stop:
 			return
-		case <-m.currentServer().Ended():
+		case <-m.currentServer().Done():
 		}
 	}
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -199,7 +199,7 @@
 func (s *Server) PeakInFlight() int64 { return s.peak.Load() }
 
 // Ended is closed once the server has ended.
-func (s *Server) Ended() <-chan struct{} { return s.stop }
+func (s *Server) Done() <-chan struct{} { return s.stop }
 
 // Stop ends the server at once.
 func (s *Server) Stop() {
