--- a/cmd/umberbench/surge.go
+++ b/cmd/umberbench/surge.go
@@ -307,7 +307,7 @@
 		if s.WaitExit(0) {
 			continue
 		}
-		work, err := s.Work()
+		work, err := s.RequestStats()
 		if err != nil {
 			return err
 		}
--- a/e2e/traffic_test.go
+++ b/e2e/traffic_test.go
@@ -46,10 +46,10 @@
 		f.ok(a.SetFaults(standin.Faults{AnnouncedState: "draining"}))
 		time.Sleep(2 * time.Second)
 		var err error
-		before, err = a.Work()
+		before, err = a.RequestStats()
 		f.ok(err)
 	})
-	after, err := a.Work()
+	after, err := a.RequestStats()
 	f.ok(err)
 	f.g.Expect(len(after)).To(gomega.Equal(len(before)), "new work two seconds after the drain")
 	f.allServed(r)
@@ -127,7 +127,7 @@
 	runs := map[string]int{}
 	total := 0
 	for _, s := range servers {
-		work, err := s.Work()
+		work, err := s.RequestStats()
 		f.ok(err)
 		for id, w := range work {
 			runs[id] += w.Executions
--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -298,7 +298,7 @@
 }
 
 // Work returns the work that a stand-in did, by request id.
-func (s *Server) Work() (map[string]standin.RequestStats, error) {
+func (s *Server) RequestStats() (map[string]standin.RequestStats, error) {
 	resp, err := http.Get("http://" + s.Addr + "/_standin/work")
 	if err != nil {
 		return nil, fault.Wrap(fault.PeerLost, err, "stand-in does not respond")
