--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,6 +1,6 @@
-// Package standin is a backend server for tests and measurements. It has
-// slots, service times, calls to further services, and faults that can be set
-// while it runs, and it counts the work that it does for each request.
+// Package standin is a backend server for tests and measurements. It has slots,
+// service times, nested calls and injectable faults, and counts its executions by
+// request.
 package standin
 
 import (
@@ -21,17 +21,17 @@
 	"github.com/umberthread/umberthread/fault"
 )
 
-// Kind is what the server does for one request kind.
+// KindBehavior is the behavior of the server for one request kind.
 type KindBehavior struct {
-	// Time is the mean time in a slot, calls not counted.
+	// MeanServiceTime is the mean service time without nested calls.
 	MeanServiceTime time.Duration
-	// Calls are the targets, fleet/service/kind, called one after another.
+	// Calls are the targets of sequential nested calls, as fleet/service/kind.
 	Calls []string
-	// Answer is the size of the answer in bytes.
+	// ResponseBytes is the size of the response body.
 	ResponseBytes int
 }
 
-// ParseKind reads name=time[:target[*count],...][@answer bytes].
+// ParseKind parses name=time[:target[*count],...][@response bytes].
 func ParseKind(s string) (string, KindBehavior, error) {
 	bad := fault.Newf(fault.BadRequest, "kind %q; allowed is name=time[:target[*count],...][@bytes]", s)
 	name, rest, ok := strings.Cut(s, "=")
@@ -69,7 +69,7 @@
 	return name, k, nil
 }
 
-// Options are the settings of a Server.
+// Options configures a Server.
 type Options struct {
 	Service     string
 	ListenAddr  string
@@ -77,63 +77,63 @@
 	Slots       int
 	Connections int
 	Kinds       map[string]KindBehavior
-	// Renew is the time between announcements.
+	// AnnounceInterval is the time between announcements; 0 selects a second.
 	AnnounceInterval time.Duration
-	// ColdStart is how long the server is several times slower at first.
+	// ColdStart is how long after its start the server is slower by coldStartFactor.
 	ColdStart time.Duration
-	// EndsOn tells which requests end the server as soon as it runs them, by path
+	// CrashOn reports whether the execution of a request stops the server, by path
 	// and body; nil for none.
 	CrashOn func(path string, body []byte) bool
 }
 
-// Faults are what can be set while the server runs.
+// Faults are the injected faults of a running server.
 type Faults struct {
-	// Slow multiplies the service times; 0 means 1.
+	// SlowdownFactor multiplies the service times; 0 means 1.
 	SlowdownFactor float64 `json:"slow"`
-	// Fail is the share of requests answered with 500 at once.
+	// FailureRate is the fraction of requests that fail immediately with status 500.
 	FailureRate float64 `json:"fail"`
-	// Hang makes every request wait until it is canceled.
+	// Hang blocks every request until it is canceled.
 	Hang bool `json:"hang"`
-	// State overrides the announced state.
+	// AnnouncedState overrides the announced state, if not empty.
 	AnnouncedState string `json:"state"`
 }
 
-// Work is what was done for one request id.
+// RequestStats counts the executions of one request id.
 type RequestStats struct {
-	// Runs counts the executions that began.
+	// Executions counts the executions started.
 	Executions int `json:"runs"`
-	// Done counts those that were answered whole.
+	// Responses counts the complete successful responses.
 	Responses int `json:"done"`
-	// Us is the time worked, calls not counted, in microseconds.
+	// ServiceMicroseconds is the total service time without nested calls.
 	Us int64 `json:"us"`
 }
 
 // Server is a running stand-in.
 type Server struct {
-	opt     Options
-	srv     *http.Server
-	ln      net.Listener
-	slots   chan struct{}
-	client  *http.Client
-	faults  atomic.Pointer[Faults]
-	started time.Time
-	stop    chan struct{}
-	// stopOnce lets several requests end the server.
+	options    Options
+	httpServer *http.Server
+	ln         net.Listener
+	slots      chan struct{}
+	client     *http.Client
+	faults     atomic.Pointer[Faults]
+	started    time.Time
+	done       chan struct{}
+	// stopOnce allows concurrent calls of Stop.
 	stopOnce sync.Once
 
-	mu   sync.Mutex
-	work map[string]*RequestStats
-	keys map[string]int
+	mu              sync.Mutex
+	statsByID       map[string]*RequestStats
+	executionsByKey map[string]int
 
-	served atomic.Int64
-	peak   atomic.Int64
-	now    atomic.Int64
+	served   atomic.Int64
+	peak     atomic.Int64
+	inFlight atomic.Int64
 }
 
-// coldFactor is how much slower a server is just after its start.
-const coldFactor = 4
+// coldStartFactor multiplies the service times during Options.ColdStart.
+const coldStartFactor = 4
 
-// Start listens and announces the server to its node until Stop.
+// Start starts a server, which announces itself to its node until Stop.
 func Start(o Options) (*Server, error) {
 	ln, err := net.Listen("tcp", o.ListenAddr)
 	if err != nil {
@@ -143,8 +143,8 @@
 		o.AnnounceInterval = time.Second
 	}
 	s := &Server{
-		opt: o, ln: ln, slots: make(chan struct{}, o.Slots), started: time.Now(), stop: make(chan struct{}),
-		work: map[string]*RequestStats{}, keys: map[string]int{},
+		options: o, ln: ln, slots: make(chan struct{}, o.Slots), started: time.Now(), done: make(chan struct{}),
+		statsByID: map[string]*RequestStats{}, executionsByKey: map[string]int{},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}},
 	}
 	s.faults.Store(&Faults{})
@@ -152,8 +152,8 @@
 	mux.HandleFunc("/_standin/faults", s.serveFaults)
 	mux.HandleFunc("/_standin/work", s.serveWork)
 	mux.HandleFunc("/", s.serve)
-	s.srv = &http.Server{Handler: mux}
-	go func() { _ = s.srv.Serve(ln) }()
+	s.httpServer = &http.Server{Handler: mux}
+	go func() { _ = s.httpServer.Serve(ln) }()
 	go s.announceLoop()
 	return s, nil
 }
@@ -162,60 +162,61 @@
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
 // Service returns the service that the server announces.
-func (s *Server) Service() string { return s.opt.Service }
+func (s *Server) Service() string { return s.options.Service }
 
-// SetFaults changes the faults.
+// SetFaults replaces the injected faults and announces the server.
 func (s *Server) SetFaults(f Faults) {
 	s.faults.Store(&f)
 	s.announce()
 }
 
-// Work returns the work done by request id.
+// RequestStats returns a copy of the statistics by request id.
 func (s *Server) RequestStats() map[string]RequestStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make(map[string]RequestStats, len(s.work))
-	for id, w := range s.work {
+	out := make(map[string]RequestStats, len(s.statsByID))
+	for id, w := range s.statsByID {
 		out[id] = *w
 	}
 	return out
 }
 
-// KeyRuns returns how often each Idempotency-Key was run.
+// ExecutionsByKey returns the number of executions by Idempotency-Key.
 func (s *Server) ExecutionsByKey() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make(map[string]int, len(s.keys))
-	for k, n := range s.keys {
+	out := make(map[string]int, len(s.executionsByKey))
+	for k, n := range s.executionsByKey {
 		out[k] = n
 	}
 	return out
 }
 
-// Served returns how many requests were answered.
+// Served returns the number of successful responses.
 func (s *Server) Served() int64 { return s.served.Load() }
 
-// Peak returns the most requests that were in the server at once.
+// PeakInFlight returns the maximum number of concurrent requests, queued ones included.
 func (s *Server) PeakInFlight() int64 { return s.peak.Load() }
 
-// Ended is closed once the server has ended.
-func (s *Server) Done() <-chan struct{} { return s.stop }
+// Done returns a channel that is closed when the server stops.
+func (s *Server) Done() <-chan struct{} { return s.done }
 
-// Stop ends the server at once.
+// Stop stops the server immediately and closes its connections.
 func (s *Server) Stop() {
 	s.stopOnce.Do(func() {
-		close(s.stop)
-		_ = s.srv.Close()
+		close(s.done)
+		_ = s.httpServer.Close()
 	})
 }
 
+// announceLoop announces the server at each interval until Stop.
 func (s *Server) announceLoop() {
 	s.announce()
-	t := time.NewTicker(s.opt.AnnounceInterval)
+	t := time.NewTicker(s.options.AnnounceInterval)
 	defer t.Stop()
 	for {
 		select {
-		case <-s.stop:
+		case <-s.done:
 			return
 		case <-t.C:
 			s.announce()
@@ -223,19 +224,20 @@
 	}
 }
 
+// announce sends the state, address and capacity to the node; errors are ignored.
 func (s *Server) announce() {
 	state := s.faults.Load().AnnouncedState
 	if state == "" {
 		state = "serving"
 	}
 	body, err := json.Marshal(map[string]any{
-		"service": s.opt.Service, "address": s.Addr(), "slots": s.opt.Slots,
-		"connections": max(s.opt.Connections, s.opt.Slots), "state": state,
+		"service": s.options.Service, "address": s.Addr(), "slots": s.options.Slots,
+		"connections": max(s.options.Connections, s.options.Slots), "state": state,
 	})
 	if err != nil {
 		return
 	}
-	resp, err := s.client.Post("http://"+s.opt.NodeAddr+"/v1/announce", "application/json", bytes.NewReader(body))
+	resp, err := s.client.Post("http://"+s.options.NodeAddr+"/v1/announce", "application/json", bytes.NewReader(body))
 	if err != nil {
 		return
 	}
@@ -257,8 +259,8 @@
 }
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	now := s.now.Add(1)
-	defer s.now.Add(-1)
+	now := s.inFlight.Add(1)
+	defer s.inFlight.Add(-1)
 	for p := s.peak.Load(); now > p && !s.peak.CompareAndSwap(p, now); p = s.peak.Load() {
 	}
 	body, err := io.ReadAll(r.Body)
@@ -271,19 +273,20 @@
 		return
 	}
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	kind, ok := s.opt.Kinds[name]
+	kind, ok := s.options.Kinds[name]
 	if !ok {
 		http.Error(w, "no such kind", http.StatusNotFound)
 		return
 	}
 	ctx, cancel := withRemaining(r)
 	defer cancel()
-	if status := s.run(ctx, w, r, body, kind, f); status != http.StatusOK {
+	if status := s.execute(ctx, w, r, body, kind, f); status != http.StatusOK {
 		return
 	}
-	s.answer(w, r, kind, len(body))
+	s.writeResponse(w, r, kind, len(body))
 }
 
+// withRemaining returns the request's context with the deadline of the Umber-Remaining-Ms header.
 func withRemaining(r *http.Request) (context.Context, context.CancelFunc) {
 	ms, err := strconv.Atoi(r.Header.Get("Umber-Remaining-Ms"))
 	if err != nil {
@@ -292,8 +295,9 @@
 	return context.WithTimeout(r.Context(), time.Duration(ms)*time.Millisecond)
 }
 
-// run works for a request in a slot. It writes the answer if it fails.
-func (s *Server) run(ctx context.Context, w http.ResponseWriter, r *http.Request, body []byte, k KindBehavior, f *Faults) int {
+// execute executes a request in a slot and returns its status. On a failure other
+// than a hang it has written the response.
+func (s *Server) execute(ctx context.Context, w http.ResponseWriter, r *http.Request, body []byte, k KindBehavior, f *Faults) int {
 	select {
 	case s.slots <- struct{}{}:
 	case <-ctx.Done():
@@ -302,8 +306,8 @@
 	}
 	defer func() { <-s.slots }()
 	id := r.Header.Get("Umber-Request-Id")
-	s.began(id, r.Header.Get("Idempotency-Key"))
-	if s.opt.CrashOn != nil && s.opt.CrashOn(r.URL.Path, body) {
+	s.recordExecution(id, r.Header.Get("Idempotency-Key"))
+	if s.options.CrashOn != nil && s.options.CrashOn(r.URL.Path, body) {
 		s.Stop()
 		panic(http.ErrAbortHandler)
 	}
@@ -312,32 +316,34 @@
 		return http.StatusGatewayTimeout
 	}
 	start := time.Now()
-	slept := sleep(ctx, s.span(k, f))
-	s.worked(id, time.Since(start))
+	slept := sleep(ctx, s.drawServiceTime(k, f))
+	s.recordServiceTime(id, time.Since(start))
 	if !slept {
 		w.WriteHeader(http.StatusGatewayTimeout)
 		return http.StatusGatewayTimeout
 	}
 	for _, target := range k.Calls {
-		if status := s.call(ctx, w, r, target); status != http.StatusOK {
+		if status := s.callNested(ctx, w, r, target); status != http.StatusOK {
 			return status
 		}
 	}
 	return http.StatusOK
 }
 
-// span draws a service time: half of the mean is fixed, half exponential.
-func (s *Server) span(k KindBehavior, f *Faults) time.Duration {
+// drawServiceTime draws a service time: half of the mean is constant, half is
+// exponentially distributed.
+func (s *Server) drawServiceTime(k KindBehavior, f *Faults) time.Duration {
 	d := float64(k.MeanServiceTime) * (0.5 + 0.5*rand.ExpFloat64())
 	if f.SlowdownFactor > 0 {
 		d *= f.SlowdownFactor
 	}
-	if time.Since(s.started) < s.opt.ColdStart {
-		d *= coldFactor
+	if time.Since(s.started) < s.options.ColdStart {
+		d *= coldStartFactor
 	}
 	return time.Duration(d)
 }
 
+// sleep waits for d and reports whether the context lasted that long.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d == 0 {
 		return true
@@ -352,9 +358,10 @@
 	}
 }
 
-// call calls a further service through the node, as part of the request.
-func (s *Server) call(ctx context.Context, w http.ResponseWriter, r *http.Request, target string) int {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.opt.NodeAddr+"/call/"+target, nil)
+// callNested makes a nested call through the node and returns its status. On a failure
+// it has written the response.
+func (s *Server) callNested(ctx context.Context, w http.ResponseWriter, r *http.Request, target string) int {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.options.NodeAddr+"/call/"+target, nil)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return http.StatusInternalServerError
@@ -388,9 +395,9 @@
 	return resp.StatusCode
 }
 
-// answer writes the answer: the request's id, so that a crossed one shows,
-// the size of the body received, and filling.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, k KindBehavior, received int) {
+// writeResponse writes the request id, which reveals a mismatched response, the size of
+// the request body, and padding.
+func (s *Server) writeResponse(w http.ResponseWriter, r *http.Request, k KindBehavior, received int) {
 	id := r.Header.Get("Umber-Request-Id")
 	head := id + " " + strconv.Itoa(received) + "\n"
 	fill := strings.Repeat("x", max(0, k.ResponseBytes-len(head)))
@@ -400,24 +407,26 @@
 	}
 	s.served.Add(1)
 	s.mu.Lock()
-	s.work[id].Responses++
+	s.statsByID[id].Responses++
 	s.mu.Unlock()
 }
 
-func (s *Server) began(id, key string) {
+// recordExecution counts the start of an execution.
+func (s *Server) recordExecution(id, key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.work[id] == nil {
-		s.work[id] = &RequestStats{}
+	if s.statsByID[id] == nil {
+		s.statsByID[id] = &RequestStats{}
 	}
-	s.work[id].Executions++
+	s.statsByID[id].Executions++
 	if key != "" {
-		s.keys[key]++
+		s.executionsByKey[key]++
 	}
 }
 
-func (s *Server) worked(id string, d time.Duration) {
+// recordServiceTime adds to the service time of a request.
+func (s *Server) recordServiceTime(id string, d time.Duration) {
 	s.mu.Lock()
-	s.work[id].Us += d.Microseconds()
+	s.statsByID[id].Us += d.Microseconds()
 	s.mu.Unlock()
 }
