--- a/cmd/umberbench/surge.go
+++ b/cmd/umberbench/surge.go
@@ -315,9 +315,9 @@
 			if _, counted := ok[id]; !counted {
 				continue
 			}
-			total += float64(w.Us)
+			total += float64(w.ServiceMicroseconds)
 			if !ok[id] {
-				wasted += float64(w.Us)
+				wasted += float64(w.ServiceMicroseconds)
 			}
 		}
 	}
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -105,7 +105,7 @@
 	// Responses counts the complete successful responses.
 	Responses int `json:"done"`
 	// ServiceMicroseconds is the total service time without nested calls.
-	Us int64 `json:"us"`
+	ServiceMicroseconds int64 `json:"us"`
 }
 
 // Server is a running stand-in.
@@ -427,6 +427,6 @@
 // recordServiceTime adds to the service time of a request.
 func (s *Server) recordServiceTime(id string, d time.Duration) {
 	s.mu.Lock()
-	s.statsByID[id].Us += d.Microseconds()
+	s.statsByID[id].ServiceMicroseconds += d.Microseconds()
 	s.mu.Unlock()
 }
