--- a/cmd/umberbench/commit.go
+++ b/cmd/umberbench/commit.go
@@ -24,7 +24,7 @@
 idempotent = true
 `
 
-var commitKinds = []load.Kind{
+var commitKinds = []load.RequestKind{
 	{Target: "suva/claims-hub/lodge", Share: 0.5, Deadline: 5 * time.Second, Body: 200, Keyed: true},
 	{Target: "suva/claims-hub/status", Share: 0.5, Deadline: 5 * time.Second, Body: 200},
 }
--- a/cmd/umberbench/demo.go
+++ b/cmd/umberbench/demo.go
@@ -22,7 +22,7 @@
 	{"kigali/rosters", 8, 40, []string{"day=3ms", "catering=3ms", "transport=3ms"}},
 }
 
-var demoKinds = []load.Kind{
+var demoKinds = []load.RequestKind{
 	{Target: "kigali/sheets/open", Share: 0.25, Deadline: 10 * time.Second},
 	{Target: "kigali/sheets/preview", Share: 0.15, Deadline: 2 * time.Second},
 	{Target: "kigali/bookings/confirm", Share: 0.15, Deadline: 8 * time.Second, Body: 200, Keyed: true},
@@ -76,12 +76,12 @@
 }
 
 // awaitServed waits until each kind is served at every node.
-func awaitServed(f *harness.Fleet, kinds []load.Kind) error {
+func awaitServed(f *harness.Fleet, kinds []load.RequestKind) error {
 	return harness.Await(20*time.Second, func() error {
 		for _, k := range kinds {
 			k.Share = 1
 			for _, n := range f.Nodes {
-				r := load.Run(load.Options{Entries: []string{n.HTTP}, Kinds: []load.Kind{k}, Phases: []load.Phase{{Rate: 1000, For: time.Millisecond}}})
+				r := load.Run(load.Options{Entries: []string{n.HTTP}, Kinds: []load.RequestKind{k}, Phases: []load.Phase{{Rate: 1000, For: time.Millisecond}}})
 				for _, o := range r.Outcomes {
 					if !o.OK {
 						return fault.Newf(fault.NoBackend, "%s at %s: %s", k.Target, n.Name, o.Reason)
--- a/cmd/umberbench/hop.go
+++ b/cmd/umberbench/hop.go
@@ -46,7 +46,7 @@
 	if _, err := f.ApplySettings(entry, hopTree, settings.Entries{}); err != nil {
 		return err
 	}
-	kinds := []load.Kind{{Target: "kigali/rosters/echo", Share: 1, Deadline: 2 * time.Second, Body: 500}}
+	kinds := []load.RequestKind{{Target: "kigali/rosters/echo", Share: 1, Deadline: 2 * time.Second, Body: 500}}
 	if err := awaitServed(f, kinds); err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 }
 
 // hopRun returns p50 and p99.
-func hopRun(o hopOptions, kinds []load.Kind, entry string, direct bool) ([2]time.Duration, error) {
+func hopRun(o hopOptions, kinds []load.RequestKind, entry string, direct bool) ([2]time.Duration, error) {
 	r := load.Run(load.Options{Entries: []string{entry}, Kinds: kinds, Direct: direct, Phases: []load.Phase{{Rate: o.rate, For: o.span}}})
 	for _, out := range r.Outcomes {
 		if !out.OK {
--- a/cmd/umberbench/surge.go
+++ b/cmd/umberbench/surge.go
@@ -56,17 +56,17 @@
 
 // surgeKind is a kind of the mix with its calls of rosters.
 type surgeKind struct {
-	load.Kind
+	load.RequestKind
 	calls     int
 	protected bool
 }
 
 var surgeKinds = []surgeKind{
-	{load.Kind{Target: "kigali/sheets/open", Share: 0.08, Deadline: 4 * time.Second}, 1, true},
-	{load.Kind{Target: "kigali/sheets/preview", Share: 0.22, Deadline: 2 * time.Second}, 3, false},
-	{load.Kind{Target: "kigali/bookings/list", Share: 0.30, Deadline: 2 * time.Second}, 1, false},
-	{load.Kind{Target: "kigali/rosters/catering", Share: 0.30, Deadline: 2 * time.Second}, 1, false},
-	{load.Kind{Target: "kigali/locations/find", Share: 0.10, Deadline: 2 * time.Second}, 0, false},
+	{load.RequestKind{Target: "kigali/sheets/open", Share: 0.08, Deadline: 4 * time.Second}, 1, true},
+	{load.RequestKind{Target: "kigali/sheets/preview", Share: 0.22, Deadline: 2 * time.Second}, 3, false},
+	{load.RequestKind{Target: "kigali/bookings/list", Share: 0.30, Deadline: 2 * time.Second}, 1, false},
+	{load.RequestKind{Target: "kigali/rosters/catering", Share: 0.30, Deadline: 2 * time.Second}, 1, false},
+	{load.RequestKind{Target: "kigali/locations/find", Share: 0.10, Deadline: 2 * time.Second}, 0, false},
 }
 
 // surgeCapacity is what rosters can serve, in calls per second.
@@ -163,9 +163,9 @@
 	if _, err := f.ApplySettings(f.Nodes[0], string(tree), settings.Entries{"kigali#policy": policy}); err != nil {
 		return nil, err
 	}
-	var kinds []load.Kind
+	var kinds []load.RequestKind
 	for _, k := range surgeKinds {
-		kinds = append(kinds, k.Kind)
+		kinds = append(kinds, k.RequestKind)
 	}
 	if err := awaitServed(f, kinds); err != nil {
 		return nil, err
--- a/cmd/umberload/main.go
+++ b/cmd/umberload/main.go
@@ -27,7 +27,7 @@
 
 	o := load.Options{Entries: *entries, Resends: *resends, Pause: *pause, Polite: *polite}
 	for _, t := range *targets {
-		o.Kinds = append(o.Kinds, load.Kind{Target: t, Share: 1 / float64(len(*targets)), Deadline: *deadline, Body: *body, Keyed: *keyed})
+		o.Kinds = append(o.Kinds, load.RequestKind{Target: t, Share: 1 / float64(len(*targets)), Deadline: *deadline, Body: *body, Keyed: *keyed})
 	}
 	o.Phases = []load.Phase{{Rate: *rate, For: *span}}
 	report(load.Run(o))
--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -220,7 +220,7 @@
 			if n.WaitExit(0) {
 				continue
 			}
-			r := load.Run(load.Options{Entries: []string{n.HTTP}, Kinds: []load.Kind{kind(target, 3*time.Second)}, Phases: []load.Phase{{Rate: 1000, For: time.Millisecond}}})
+			r := load.Run(load.Options{Entries: []string{n.HTTP}, Kinds: []load.RequestKind{kind(target, 3*time.Second)}, Phases: []load.Phase{{Rate: 1000, For: time.Millisecond}}})
 			for _, o := range r.Outcomes {
 				if !o.OK {
 					return fmt.Errorf("%s: %s", n.Name, o.Reason)
@@ -231,8 +231,8 @@
 	}, 20*time.Second, 50*time.Millisecond).Should(gomega.Succeed())
 }
 
-func kind(target string, deadline time.Duration) load.Kind {
-	return load.Kind{Target: target, Share: 1, Deadline: deadline}
+func kind(target string, deadline time.Duration) load.RequestKind {
+	return load.RequestKind{Target: target, Share: 1, Deadline: deadline}
 }
 
 // loseDisk removes a stopped node's data folder.
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -21,7 +21,7 @@
 )
 
 // Kind is one kind of request in the mix.
-type Kind struct {
+type RequestKind struct {
 	// Target is fleet/service/kind.
 	Target string
 	// Share is its share of the arrivals.
@@ -45,7 +45,7 @@
 type Options struct {
 	// Entries are the HTTP addresses of the nodes that callers use.
 	Entries []string
-	Kinds   []Kind
+	Kinds   []RequestKind
 	Phases  []Phase
 	// Resends is how often a caller sends a failed request again, with the
 	// same id, within its deadline.
@@ -165,7 +165,7 @@
 }
 
 // try sends the request once and returns how long to wait before a resend.
-func (r *runner) try(ctx context.Context, k *Kind, key string, out *Outcome) time.Duration {
+func (r *runner) try(ctx context.Context, k *RequestKind, key string, out *Outcome) time.Duration {
 	entry := r.o.Entries[r.next.Add(1)%uint64(len(r.o.Entries))]
 	path := "/call/" + k.Target
 	if r.o.Direct {
