--- a/cmd/umberbench/surge.go
+++ b/cmd/umberbench/surge.go
@@ -254,10 +254,10 @@
 		ok = 1
 	}
 	switch {
-	case out.Due < from:
+	case out.ScheduledAt < from:
 		t.calm++
 		t.calmOK += ok
-	case out.Due < to:
+	case out.ScheduledAt < to:
 		t.demanded += float64(k.calls)
 		t.useful += float64(ok * k.calls)
 		if k.protected {
@@ -341,7 +341,7 @@
 func series(r *load.Result) []float64 {
 	var out []float64
 	for _, o := range r.Outcomes {
-		at := int(o.Due / seriesStep)
+		at := int(o.ScheduledAt / seriesStep)
 		for len(out) <= at {
 			out = append(out, 0)
 		}
@@ -358,10 +358,10 @@
 	bins := map[int]*bin{}
 	last := 0
 	for _, o := range r.Outcomes {
-		if o.Due < end {
+		if o.ScheduledAt < end {
 			continue
 		}
-		at := int((o.Due - end) / seriesStep)
+		at := int((o.ScheduledAt - end) / seriesStep)
 		if bins[at] == nil {
 			bins[at] = &bin{}
 		}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -61,17 +61,17 @@
 
 // Outcome is what became of one request.
 type Outcome struct {
-	ID       string
-	Kind     int
-	Due      time.Duration
-	Took     time.Duration
-	OK       bool
-	Tries    int
-	Status   int
-	Reason   string
-	Detail   string
-	Wrong    bool
-	LastTook time.Duration
+	ID          string
+	Kind        int
+	ScheduledAt time.Duration
+	Took        time.Duration
+	OK          bool
+	Tries       int
+	Status      int
+	Reason      string
+	Detail      string
+	Wrong       bool
+	LastTook    time.Duration
 }
 
 // Result is the outcome of a run.
@@ -140,7 +140,7 @@
 func (r *runner) send(kind int, due time.Duration) {
 	defer r.wg.Done()
 	k := r.o.Kinds[kind]
-	out := Outcome{ID: uuid.NewString(), Kind: kind, Due: due}
+	out := Outcome{ID: uuid.NewString(), Kind: kind, ScheduledAt: due}
 	key := ""
 	if k.Keyed {
 		key = uuid.Must(uuid.NewV7()).String()
@@ -220,7 +220,7 @@
 func (r *Result) Latency(kind int, from, to time.Duration) *hdrhistogram.Histogram {
 	h := hdrhistogram.New(1, maxHist, histFigures)
 	for _, o := range r.Outcomes {
-		if (kind < 0 || o.Kind == kind) && o.OK && o.Due >= from && o.Due < to {
+		if (kind < 0 || o.Kind == kind) && o.OK && o.ScheduledAt >= from && o.ScheduledAt < to {
 			_ = h.RecordValue(max(1, o.Took.Microseconds()))
 		}
 	}
