--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -64,7 +64,7 @@
 	ID          string
 	Kind        int
 	ScheduledAt time.Duration
-	Took        time.Duration
+	Latency     time.Duration
 	OK          bool
 	Tries       int
 	Status      int
@@ -158,7 +158,7 @@
 		}
 		time.Sleep(wait)
 	}
-	out.Took = time.Since(r.start) - due
+	out.Latency = time.Since(r.start) - due
 	r.mu.Lock()
 	r.outcomes = append(r.outcomes, out)
 	r.mu.Unlock()
@@ -221,7 +221,7 @@
 	h := hdrhistogram.New(1, maxHist, histFigures)
 	for _, o := range r.Outcomes {
 		if (kind < 0 || o.Kind == kind) && o.OK && o.ScheduledAt >= from && o.ScheduledAt < to {
-			_ = h.RecordValue(max(1, o.Took.Microseconds()))
+			_ = h.RecordValue(max(1, o.Latency.Microseconds()))
 		}
 	}
 	return h
