--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -66,7 +66,7 @@
 	ScheduledAt time.Duration
 	Latency     time.Duration
 	OK          bool
-	Tries       int
+	Attempts    int
 	Status      int
 	Reason      string
 	Detail      string
@@ -149,11 +149,11 @@
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	for {
-		out.Tries++
+		out.Attempts++
 		sent := time.Now()
 		wait := r.try(ctx, &k, key, &out)
 		out.LastTook = time.Since(sent)
-		if out.OK || out.Tries > r.o.Resends || time.Now().Add(wait).After(deadline) {
+		if out.OK || out.Attempts > r.o.Resends || time.Now().Add(wait).After(deadline) {
 			break
 		}
 		time.Sleep(wait)
