--- a/cmd/umberbench/demo.go
+++ b/cmd/umberbench/demo.go
@@ -106,7 +106,7 @@
 				continue
 			}
 			sent++
-			if o.OK && !o.Wrong {
+			if o.OK && !o.ResponseMismatch {
 				served++
 			} else {
 				reasons[o.Reason]++
--- a/cmd/umberbench/surge.go
+++ b/cmd/umberbench/surge.go
@@ -275,7 +275,7 @@
 	var t tally
 	for i := range r.Outcomes {
 		t.add(&r.Outcomes[i], from, to)
-		if r.Outcomes[i].Wrong {
+		if r.Outcomes[i].ResponseMismatch {
 			fg.wrong++
 		}
 	}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -61,17 +61,17 @@
 
 // Outcome is what became of one request.
 type Outcome struct {
-	ID          string
-	Kind        int
-	ScheduledAt time.Duration
-	Latency     time.Duration
-	OK          bool
-	Attempts    int
-	Status      int
-	Reason      string
-	Detail      string
-	Wrong       bool
-	LastTook    time.Duration
+	ID               string
+	Kind             int
+	ScheduledAt      time.Duration
+	Latency          time.Duration
+	OK               bool
+	Attempts         int
+	Status           int
+	Reason           string
+	Detail           string
+	ResponseMismatch bool
+	LastTook         time.Duration
 }
 
 // Result is the outcome of a run.
@@ -198,7 +198,7 @@
 	if resp.StatusCode == http.StatusOK {
 		out.OK = true
 		out.Reason = ""
-		out.Wrong = !bytes.HasPrefix(body, []byte(out.ID)) && resp.Header.Get("Umber-Replayed") == ""
+		out.ResponseMismatch = !bytes.HasPrefix(body, []byte(out.ID)) && resp.Header.Get("Umber-Replayed") == ""
 		return 0
 	}
 	var problem struct {
