--- a/cmd/umberbench/surge.go
+++ b/cmd/umberbench/surge.go
@@ -395,7 +395,7 @@
 	h := (&load.Result{}).Latency(-1, 0, 0)
 	for _, o := range r.Outcomes {
 		if !o.OK && o.Status == 503 {
-			_ = h.RecordValue(max(1, o.LastTook.Microseconds()))
+			_ = h.RecordValue(max(1, o.LastAttemptLatency.Microseconds()))
 		}
 	}
 	return time.Duration(h.ValueAtQuantile(99)) * time.Microsecond
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -61,17 +61,17 @@
 
 // Outcome is what became of one request.
 type Outcome struct {
-	ID               string
-	Kind             int
-	ScheduledAt      time.Duration
-	Latency          time.Duration
-	OK               bool
-	Attempts         int
-	Status           int
-	Reason           string
-	Detail           string
-	ResponseMismatch bool
-	LastTook         time.Duration
+	ID                 string
+	Kind               int
+	ScheduledAt        time.Duration
+	Latency            time.Duration
+	OK                 bool
+	Attempts           int
+	Status             int
+	Reason             string
+	Detail             string
+	ResponseMismatch   bool
+	LastAttemptLatency time.Duration
 }
 
 // Result is the outcome of a run.
@@ -152,7 +152,7 @@
 		out.Attempts++
 		sent := time.Now()
 		wait := r.try(ctx, &k, key, &out)
-		out.LastTook = time.Since(sent)
+		out.LastAttemptLatency = time.Since(sent)
 		if out.OK || out.Attempts > r.o.Resends || time.Now().Add(wait).After(deadline) {
 			break
 		}
