--- a/cmd/umberbench/commit.go
+++ b/cmd/umberbench/commit.go
@@ -86,7 +86,7 @@
 			}
 		}
 		for i, k := range commitKinds {
-			h := r.Latency(i, 0, o.span)
+			h := r.LatencyHistogram(i, 0, o.span)
 			fmt.Printf("rate=%g %s served=%d of=%d p50=%dus p99=%dus\n", rate, k.Target, served, len(r.Outcomes), h.ValueAtQuantile(50), h.ValueAtQuantile(99))
 		}
 	}
--- a/cmd/umberbench/demo.go
+++ b/cmd/umberbench/demo.go
@@ -113,7 +113,7 @@
 			}
 		}
 		total += served
-		h := r.Latency(i, 0, time.Hour)
+		h := r.LatencyHistogram(i, 0, time.Hour)
 		p50 := time.Duration(h.ValueAtQuantile(50)) * time.Microsecond
 		p99 := time.Duration(h.ValueAtQuantile(99)) * time.Microsecond
 		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\t%s\n", k.Target, sent, served, p50, p99, reasonText(reasons))
--- a/cmd/umberbench/hop.go
+++ b/cmd/umberbench/hop.go
@@ -74,7 +74,7 @@
 		}
 	}
 	// The first second warms the connections.
-	h := r.Latency(0, time.Second, o.span)
+	h := r.LatencyHistogram(0, time.Second, o.span)
 	us := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
 	return [2]time.Duration{us(50), us(99)}, nil
 }
--- a/cmd/umberbench/surge.go
+++ b/cmd/umberbench/surge.go
@@ -288,7 +288,7 @@
 	}
 	fg.series = series(r)
 	fg.recover(r, to)
-	h := r.Latency(-1, from, to)
+	h := r.LatencyHistogram(-1, from, to)
 	fg.p50 = time.Duration(h.ValueAtQuantile(50)) * time.Microsecond
 	fg.p99 = time.Duration(h.ValueAtQuantile(99)) * time.Microsecond
 	fg.p999 = time.Duration(h.ValueAtQuantile(99.9)) * time.Microsecond
@@ -392,7 +392,7 @@
 
 // refusalTime is the p99 of the time until a refusal.
 func refusalTime(r *load.Result) time.Duration {
-	h := (&load.Result{}).Latency(-1, 0, 0)
+	h := (&load.Result{}).LatencyHistogram(-1, 0, 0)
 	for _, o := range r.Outcomes {
 		if !o.OK && o.Status == 503 {
 			_ = h.RecordValue(max(1, o.LastAttemptLatency.Microseconds()))
--- a/cmd/umberload/main.go
+++ b/cmd/umberload/main.go
@@ -43,7 +43,7 @@
 			reasons[o.Reason]++
 		}
 	}
-	h := r.Latency(-1, 0, time.Hour)
+	h := r.LatencyHistogram(-1, 0, time.Hour)
 	us := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
 	fmt.Printf("sent=%d served=%d p50=%s p99=%s p99.9=%s\n", len(r.Outcomes), served, us(50), us(99), us(99.9))
 	for reason, n := range reasons {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -217,7 +217,7 @@
 
 // Latency returns the latencies of the served requests of a kind that were
 // due within a span; kind -1 means all.
-func (r *Result) Latency(kind int, from, to time.Duration) *hdrhistogram.Histogram {
+func (r *Result) LatencyHistogram(kind int, from, to time.Duration) *hdrhistogram.Histogram {
 	h := hdrhistogram.New(1, maxHist, histFigures)
 	for _, o := range r.Outcomes {
 		if (kind < 0 || o.Kind == kind) && o.OK && o.ScheduledAt >= from && o.ScheduledAt < to {
