--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -44,9 +44,9 @@
 // Options describe a run.
 type Options struct {
 	// Entries are the HTTP addresses of the nodes that callers use.
-	Entries []string
-	Kinds   []RequestKind
-	Phases  []Phase
+	Addrs  []string
+	Kinds  []RequestKind
+	Phases []Phase
 	// Resends is how often a caller sends a failed request again, with the
 	// same id, within its deadline.
 	Resends int
@@ -166,7 +166,7 @@
 
 // try sends the request once and returns how long to wait before a resend.
 func (r *runner) try(ctx context.Context, k *RequestKind, key string, out *Outcome) time.Duration {
-	entry := r.o.Entries[r.next.Add(1)%uint64(len(r.o.Entries))]
+	entry := r.o.Addrs[r.next.Add(1)%uint64(len(r.o.Addrs))]
 	path := "/call/" + k.Target
 	if r.o.Direct {
 		path = k.Target[strings.LastIndexByte(k.Target, '/'):]
