--- a/cmd/umberbench/surge.go
+++ b/cmd/umberbench/surge.go
@@ -176,7 +176,7 @@
 		demand = base * calm
 	}
 	r := load.Run(load.Options{
-		Addrs: f.HTTPAddrs(), Kinds: kinds, Resends: 8, Pause: 50 * time.Millisecond,
+		Addrs: f.HTTPAddrs(), Kinds: kinds, Resends: 8, ResendDelay: 50 * time.Millisecond,
 		Phases: []load.Phase{
 			{Rate: base * calm, For: o.before},
 			{Rate: demand, For: o.surge, Start: func() { go trigger(f, o.scenario, true) }},
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -52,7 +52,7 @@
 	Resends int
 	// Pause is the time before a resend. Callers that retry hard ignore
 	// what the refusal asks of them.
-	Pause time.Duration
+	ResendDelay time.Duration
 	// Direct sends to backend servers instead of nodes.
 	Direct bool
 	// Polite callers wait as long as the refusal asks.
@@ -174,7 +174,7 @@
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+path, bytes.NewReader(make([]byte, k.Body)))
 	if err != nil {
 		out.Reason = "malformed"
-		return r.o.Pause
+		return r.o.ResendDelay
 	}
 	req.Header.Set("Umber-Request-Id", out.ID)
 	left, _ := ctx.Deadline()
@@ -185,7 +185,7 @@
 	resp, err := r.client.Do(req)
 	if err != nil {
 		out.Status, out.Reason = 0, "no-answer"
-		return r.o.Pause
+		return r.o.ResendDelay
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
@@ -193,7 +193,7 @@
 	out.Reason = resp.Status
 	if err != nil {
 		out.Reason = "cut-off"
-		return r.o.Pause
+		return r.o.ResendDelay
 	}
 	if resp.StatusCode == http.StatusOK {
 		out.OK = true
@@ -212,7 +212,7 @@
 	if seconds, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil && r.o.Polite {
 		return time.Duration(seconds) * time.Second
 	}
-	return r.o.Pause
+	return r.o.ResendDelay
 }
 
 // Latency returns the latencies of the served requests of a kind that were
