--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -56,7 +56,7 @@
 	// Direct sends to backend servers instead of nodes.
 	Direct bool
 	// Polite callers wait as long as the refusal asks.
-	Polite bool
+	HonorRetryAfter bool
 }
 
 // Outcome is what became of one request.
@@ -209,7 +209,7 @@
 		out.Reason = problem.Reason
 		out.Detail = problem.Detail
 	}
-	if seconds, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil && r.o.Polite {
+	if seconds, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil && r.o.HonorRetryAfter {
 		return time.Duration(seconds) * time.Second
 	}
 	return r.o.ResendDelay
