--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -54,7 +54,7 @@
 	// what the refusal asks of them.
 	ResendDelay time.Duration
 	// Direct sends to backend servers instead of nodes.
-	Direct bool
+	DirectToServers bool
 	// Polite callers wait as long as the refusal asks.
 	HonorRetryAfter bool
 }
@@ -168,7 +168,7 @@
 func (r *runner) try(ctx context.Context, k *RequestKind, key string, out *Outcome) time.Duration {
 	entry := r.o.Addrs[r.next.Add(1)%uint64(len(r.o.Addrs))]
 	path := "/call/" + k.Target
-	if r.o.Direct {
+	if r.o.DirectToServers {
 		path = k.Target[strings.LastIndexByte(k.Target, '/'):]
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+path, bytes.NewReader(make([]byte, k.Body)))
