--- a/cmd/umberbench/commit.go
+++ b/cmd/umberbench/commit.go
@@ -78,7 +78,7 @@
 		return err
 	}
 	for _, rate := range []float64{o.rate / 8, o.rate} {
-		r := load.Run(load.Options{Addrs: f.HTTPAddrs(), Kinds: commitKinds, Phases: []load.Phase{{Rate: rate, For: o.span}}})
+		r := load.Run(load.Options{Addrs: f.HTTPAddrs(), Kinds: commitKinds, Phases: []load.Phase{{Rate: rate, Duration: o.span}}})
 		served := 0
 		for _, out := range r.Outcomes {
 			if out.OK {
--- a/cmd/umberbench/demo.go
+++ b/cmd/umberbench/demo.go
@@ -50,7 +50,7 @@
 		if err := awaitServed(f, demoKinds); err != nil {
 			return err
 		}
-		r = load.Run(load.Options{Addrs: f.HTTPAddrs(), Kinds: demoKinds, Phases: []load.Phase{{Rate: 60, For: 6 * time.Second}}})
+		r = load.Run(load.Options{Addrs: f.HTTPAddrs(), Kinds: demoKinds, Phases: []load.Phase{{Rate: 60, Duration: 6 * time.Second}}})
 		served = printOutcomes(r)
 		fmt.Println("Stopping all gracefully.")
 		return nil
@@ -81,7 +81,7 @@
 		for _, k := range kinds {
 			k.Share = 1
 			for _, n := range f.Nodes {
-				r := load.Run(load.Options{Addrs: []string{n.HTTP}, Kinds: []load.RequestKind{k}, Phases: []load.Phase{{Rate: 1000, For: time.Millisecond}}})
+				r := load.Run(load.Options{Addrs: []string{n.HTTP}, Kinds: []load.RequestKind{k}, Phases: []load.Phase{{Rate: 1000, Duration: time.Millisecond}}})
 				for _, o := range r.Outcomes {
 					if !o.OK {
 						return fault.Newf(fault.NoBackend, "%s at %s: %s", k.Target, n.Name, o.Reason)
--- a/cmd/umberbench/hop.go
+++ b/cmd/umberbench/hop.go
@@ -67,7 +67,7 @@
 
 // hopRun returns p50 and p99.
 func hopRun(o hopOptions, kinds []load.RequestKind, entry string, direct bool) ([2]time.Duration, error) {
-	r := load.Run(load.Options{Addrs: []string{entry}, Kinds: kinds, DirectToServers: direct, Phases: []load.Phase{{Rate: o.rate, For: o.span}}})
+	r := load.Run(load.Options{Addrs: []string{entry}, Kinds: kinds, DirectToServers: direct, Phases: []load.Phase{{Rate: o.rate, Duration: o.span}}})
 	for _, out := range r.Outcomes {
 		if !out.OK {
 			return [2]time.Duration{}, fault.Newf(fault.Internal, "a call failed: %s", out.Reason)
--- a/cmd/umberbench/surge.go
+++ b/cmd/umberbench/surge.go
@@ -178,9 +178,9 @@
 	r := load.Run(load.Options{
 		Addrs: f.HTTPAddrs(), Kinds: kinds, Resends: 8, ResendDelay: 50 * time.Millisecond,
 		Phases: []load.Phase{
-			{Rate: base * calm, For: o.before},
-			{Rate: demand, For: o.surge, Start: func() { go trigger(f, o.scenario, true) }},
-			{Rate: base * calm, For: o.after, Start: func() { go trigger(f, o.scenario, false) }},
+			{Rate: base * calm, Duration: o.before},
+			{Rate: demand, Duration: o.surge, Start: func() { go trigger(f, o.scenario, true) }},
+			{Rate: base * calm, Duration: o.after, Start: func() { go trigger(f, o.scenario, false) }},
 		},
 	})
 	return evaluate(f, o, policy, times, r)
--- a/cmd/umberload/main.go
+++ b/cmd/umberload/main.go
@@ -29,7 +29,7 @@
 	for _, t := range *targets {
 		o.Kinds = append(o.Kinds, load.RequestKind{Target: t, Share: 1 / float64(len(*targets)), Deadline: *deadline, Body: *body, Keyed: *keyed})
 	}
-	o.Phases = []load.Phase{{Rate: *rate, For: *span}}
+	o.Phases = []load.Phase{{Rate: *rate, Duration: *span}}
 	report(load.Run(o))
 }
 
--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -220,7 +220,7 @@
 			if n.WaitExit(0) {
 				continue
 			}
-			r := load.Run(load.Options{Addrs: []string{n.HTTP}, Kinds: []load.RequestKind{kind(target, 3*time.Second)}, Phases: []load.Phase{{Rate: 1000, For: time.Millisecond}}})
+			r := load.Run(load.Options{Addrs: []string{n.HTTP}, Kinds: []load.RequestKind{kind(target, 3*time.Second)}, Phases: []load.Phase{{Rate: 1000, Duration: time.Millisecond}}})
 			for _, o := range r.Outcomes {
 				if !o.OK {
 					return fmt.Errorf("%s: %s", n.Name, o.Reason)
--- a/e2e/traffic_test.go
+++ b/e2e/traffic_test.go
@@ -18,7 +18,7 @@
 func (f *fleet) underLoad(entries []string, target string, span time.Duration, during func()) *load.Result {
 	done := make(chan *load.Result, 1)
 	go func() {
-		done <- load.Run(load.Options{Addrs: entries, Kinds: []load.RequestKind{kind(target, 3*time.Second)}, Phases: []load.Phase{{Rate: 150, For: span}}})
+		done <- load.Run(load.Options{Addrs: entries, Kinds: []load.RequestKind{kind(target, 3*time.Second)}, Phases: []load.Phase{{Rate: 150, Duration: span}}})
 	}()
 	time.Sleep(2 * time.Second)
 	during()
@@ -113,7 +113,7 @@
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		r = load.Run(load.Options{Addrs: f.HTTPAddrs(), Kinds: []load.RequestKind{k}, Resends: 60, ResendDelay: 100 * time.Millisecond, Phases: []load.Phase{{Rate: 60, For: 8 * time.Second}}})
+		r = load.Run(load.Options{Addrs: f.HTTPAddrs(), Kinds: []load.RequestKind{k}, Resends: 60, ResendDelay: 100 * time.Millisecond, Phases: []load.Phase{{Rate: 60, Duration: 8 * time.Second}}})
 	}()
 	time.Sleep(time.Second)
 	entry.Signal(syscall.SIGSTOP)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -36,9 +36,9 @@
 
 // Phase is a span of time with one rate of arrivals.
 type Phase struct {
-	Rate  float64
-	For   time.Duration
-	Start func()
+	Rate     float64
+	Duration time.Duration
+	Start    func()
 }
 
 // Options describe a run.
@@ -115,7 +115,7 @@
 	if p.Start != nil {
 		p.Start()
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), p.For)
+	ctx, cancel := context.WithTimeout(context.Background(), p.Duration)
 	defer cancel()
 	lim := rate.NewLimiter(rate.Limit(p.Rate), 1)
 	for lim.Wait(ctx) == nil {
