--- a/cmd/umberbench/surge.go
+++ b/cmd/umberbench/surge.go
@@ -179,8 +179,8 @@
 		Addrs: f.HTTPAddrs(), Kinds: kinds, Resends: 8, ResendDelay: 50 * time.Millisecond,
 		Phases: []load.Phase{
 			{Rate: base * calm, Duration: o.before},
-			{Rate: demand, Duration: o.surge, Start: func() { go trigger(f, o.scenario, true) }},
-			{Rate: base * calm, Duration: o.after, Start: func() { go trigger(f, o.scenario, false) }},
+			{Rate: demand, Duration: o.surge, OnStart: func() { go trigger(f, o.scenario, true) }},
+			{Rate: base * calm, Duration: o.after, OnStart: func() { go trigger(f, o.scenario, false) }},
 		},
 	})
 	return evaluate(f, o, policy, times, r)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -38,7 +38,7 @@
 type Phase struct {
 	Rate     float64
 	Duration time.Duration
-	Start    func()
+	OnStart  func()
 }
 
 // Options describe a run.
@@ -112,8 +112,8 @@
 // phase paces the arrivals; a limiter that falls behind catches up, so that
 // the load stays open.
 func (r *runner) phase(p Phase) {
-	if p.Start != nil {
-		p.Start()
+	if p.OnStart != nil {
+		p.OnStart()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), p.Duration)
 	defer cancel()
