--- a/cmd/umberbench/demo.go
+++ b/cmd/umberbench/demo.go
@@ -25,9 +25,9 @@
 var demoKinds = []load.RequestKind{
 	{Target: "kigali/sheets/open", Share: 0.25, Deadline: 10 * time.Second},
 	{Target: "kigali/sheets/preview", Share: 0.15, Deadline: 2 * time.Second},
-	{Target: "kigali/bookings/confirm", Share: 0.15, Deadline: 8 * time.Second, Body: 200, Keyed: true},
+	{Target: "kigali/bookings/confirm", Share: 0.15, Deadline: 8 * time.Second, BodyBytes: 200, Keyed: true},
 	{Target: "kigali/bookings/list", Share: 0.1, Deadline: 5 * time.Second},
-	{Target: "kigali/locations/upload", Share: 0.1, Deadline: 30 * time.Second, Body: 2 << 20},
+	{Target: "kigali/locations/upload", Share: 0.1, Deadline: 30 * time.Second, BodyBytes: 2 << 20},
 	{Target: "kigali/locations/find", Share: 0.1, Deadline: 5 * time.Second},
 	{Target: "kigali/rosters/day", Share: 0.05, Deadline: 5 * time.Second},
 	{Target: "kigali/rosters/catering", Share: 0.05, Deadline: 5 * time.Second},
--- a/e2e/traffic_test.go
+++ b/e2e/traffic_test.go
@@ -107,7 +107,7 @@
 	f.served("suva/claims-hub/status")
 	k := kind("suva/claims-hub/lodge", 5*time.Second)
 	k.Keyed = true
-	k.Body = 100
+	k.BodyBytes = 100
 	var wg sync.WaitGroup
 	var r *load.Result
 	wg.Add(1)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -29,7 +29,7 @@
 	// Deadline is how long the caller waits for the whole request.
 	Deadline time.Duration
 	// Body is the size of the request body in bytes.
-	Body int
+	BodyBytes int
 	// Keyed requests carry an Idempotency-Key.
 	Keyed bool
 }
@@ -171,7 +171,7 @@
 	if r.o.DirectToServers {
 		path = k.Target[strings.LastIndexByte(k.Target, '/'):]
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+path, bytes.NewReader(make([]byte, k.Body)))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+path, bytes.NewReader(make([]byte, k.BodyBytes)))
 	if err != nil {
 		out.Reason = "malformed"
 		return r.o.ResendDelay
