--- a/cmd/umberbench/commit.go
+++ b/cmd/umberbench/commit.go
@@ -25,8 +25,8 @@
 `
 
 var commitKinds = []load.RequestKind{
-	{Target: "suva/claims-hub/lodge", Share: 0.5, Deadline: 5 * time.Second, BodyBytes: 200, Keyed: true},
-	{Target: "suva/claims-hub/status", Share: 0.5, Deadline: 5 * time.Second, BodyBytes: 200},
+	{Target: "suva/claims-hub/lodge", ArrivalFraction: 0.5, Deadline: 5 * time.Second, BodyBytes: 200, Keyed: true},
+	{Target: "suva/claims-hub/status", ArrivalFraction: 0.5, Deadline: 5 * time.Second, BodyBytes: 200},
 }
 
 type commitOptions struct {
--- a/cmd/umberbench/demo.go
+++ b/cmd/umberbench/demo.go
@@ -23,15 +23,15 @@
 }
 
 var demoKinds = []load.RequestKind{
-	{Target: "kigali/sheets/open", Share: 0.25, Deadline: 10 * time.Second},
-	{Target: "kigali/sheets/preview", Share: 0.15, Deadline: 2 * time.Second},
-	{Target: "kigali/bookings/confirm", Share: 0.15, Deadline: 8 * time.Second, BodyBytes: 200, Keyed: true},
-	{Target: "kigali/bookings/list", Share: 0.1, Deadline: 5 * time.Second},
-	{Target: "kigali/locations/upload", Share: 0.1, Deadline: 30 * time.Second, BodyBytes: 2 << 20},
-	{Target: "kigali/locations/find", Share: 0.1, Deadline: 5 * time.Second},
-	{Target: "kigali/rosters/day", Share: 0.05, Deadline: 5 * time.Second},
-	{Target: "kigali/rosters/catering", Share: 0.05, Deadline: 5 * time.Second},
-	{Target: "kigali/rosters/transport", Share: 0.05, Deadline: 5 * time.Second},
+	{Target: "kigali/sheets/open", ArrivalFraction: 0.25, Deadline: 10 * time.Second},
+	{Target: "kigali/sheets/preview", ArrivalFraction: 0.15, Deadline: 2 * time.Second},
+	{Target: "kigali/bookings/confirm", ArrivalFraction: 0.15, Deadline: 8 * time.Second, BodyBytes: 200, Keyed: true},
+	{Target: "kigali/bookings/list", ArrivalFraction: 0.1, Deadline: 5 * time.Second},
+	{Target: "kigali/locations/upload", ArrivalFraction: 0.1, Deadline: 30 * time.Second, BodyBytes: 2 << 20},
+	{Target: "kigali/locations/find", ArrivalFraction: 0.1, Deadline: 5 * time.Second},
+	{Target: "kigali/rosters/day", ArrivalFraction: 0.05, Deadline: 5 * time.Second},
+	{Target: "kigali/rosters/catering", ArrivalFraction: 0.05, Deadline: 5 * time.Second},
+	{Target: "kigali/rosters/transport", ArrivalFraction: 0.05, Deadline: 5 * time.Second},
 }
 
 func runDemo(bin string) error {
@@ -79,7 +79,7 @@
 func awaitServed(f *harness.Fleet, kinds []load.RequestKind) error {
 	return harness.Await(20*time.Second, func() error {
 		for _, k := range kinds {
-			k.Share = 1
+			k.ArrivalFraction = 1
 			for _, n := range f.Nodes {
 				r := load.Run(load.Options{Addrs: []string{n.HTTP}, Kinds: []load.RequestKind{k}, Phases: []load.Phase{{Rate: 1000, Duration: time.Millisecond}}})
 				for _, o := range r.Outcomes {
--- a/cmd/umberbench/hop.go
+++ b/cmd/umberbench/hop.go
@@ -46,7 +46,7 @@
 	if _, err := f.ApplySettings(entry, hopTree, settings.Entries{}); err != nil {
 		return err
 	}
-	kinds := []load.RequestKind{{Target: "kigali/rosters/echo", Share: 1, Deadline: 2 * time.Second, BodyBytes: 500}}
+	kinds := []load.RequestKind{{Target: "kigali/rosters/echo", ArrivalFraction: 1, Deadline: 2 * time.Second, BodyBytes: 500}}
 	if err := awaitServed(f, kinds); err != nil {
 		return err
 	}
--- a/cmd/umberbench/surge.go
+++ b/cmd/umberbench/surge.go
@@ -62,11 +62,11 @@
 }
 
 var surgeKinds = []surgeKind{
-	{load.RequestKind{Target: "kigali/sheets/open", Share: 0.08, Deadline: 4 * time.Second}, 1, true},
-	{load.RequestKind{Target: "kigali/sheets/preview", Share: 0.22, Deadline: 2 * time.Second}, 3, false},
-	{load.RequestKind{Target: "kigali/bookings/list", Share: 0.30, Deadline: 2 * time.Second}, 1, false},
-	{load.RequestKind{Target: "kigali/rosters/catering", Share: 0.30, Deadline: 2 * time.Second}, 1, false},
-	{load.RequestKind{Target: "kigali/locations/find", Share: 0.10, Deadline: 2 * time.Second}, 0, false},
+	{load.RequestKind{Target: "kigali/sheets/open", ArrivalFraction: 0.08, Deadline: 4 * time.Second}, 1, true},
+	{load.RequestKind{Target: "kigali/sheets/preview", ArrivalFraction: 0.22, Deadline: 2 * time.Second}, 3, false},
+	{load.RequestKind{Target: "kigali/bookings/list", ArrivalFraction: 0.30, Deadline: 2 * time.Second}, 1, false},
+	{load.RequestKind{Target: "kigali/rosters/catering", ArrivalFraction: 0.30, Deadline: 2 * time.Second}, 1, false},
+	{load.RequestKind{Target: "kigali/locations/find", ArrivalFraction: 0.10, Deadline: 2 * time.Second}, 0, false},
 }
 
 // surgeCapacity is what rosters can serve, in calls per second.
@@ -78,7 +78,7 @@
 func callsPerRequest() float64 {
 	sum := 0.0
 	for _, k := range surgeKinds {
-		sum += k.Share * float64(k.calls)
+		sum += k.ArrivalFraction * float64(k.calls)
 	}
 	return sum
 }
--- a/cmd/umberload/main.go
+++ b/cmd/umberload/main.go
@@ -27,7 +27,7 @@
 
 	o := load.Options{Addrs: *entries, Resends: *resends, ResendDelay: *pause, HonorRetryAfter: *polite}
 	for _, t := range *targets {
-		o.Kinds = append(o.Kinds, load.RequestKind{Target: t, Share: 1 / float64(len(*targets)), Deadline: *deadline, BodyBytes: *body, Keyed: *keyed})
+		o.Kinds = append(o.Kinds, load.RequestKind{Target: t, ArrivalFraction: 1 / float64(len(*targets)), Deadline: *deadline, BodyBytes: *body, Keyed: *keyed})
 	}
 	o.Phases = []load.Phase{{Rate: *rate, Duration: *span}}
 	report(load.Run(o))
--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -232,7 +232,7 @@
 }
 
 func kind(target string, deadline time.Duration) load.RequestKind {
-	return load.RequestKind{Target: target, Share: 1, Deadline: deadline}
+	return load.RequestKind{Target: target, ArrivalFraction: 1, Deadline: deadline}
 }
 
 // loseDisk removes a stopped node's data folder.
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -25,7 +25,7 @@
 	// Target is fleet/service/kind.
 	Target string
 	// Share is its share of the arrivals.
-	Share float64
+	ArrivalFraction float64
 	// Deadline is how long the caller waits for the whole request.
 	Deadline time.Duration
 	// Body is the size of the request body in bytes.
@@ -129,10 +129,10 @@
 func (r *runner) pick() int {
 	draw := rand.Float64()
 	for i, k := range r.o.Kinds {
-		if draw < k.Share {
+		if draw < k.ArrivalFraction {
 			return i
 		}
-		draw -= k.Share
+		draw -= k.ArrivalFraction
 	}
 	return len(r.o.Kinds) - 1
 }
