--- a/cmd/umberbench/surge.go
+++ b/cmd/umberbench/surge.go
@@ -176,7 +176,7 @@
 		demand = base * calm
 	}
 	r := load.Run(load.Options{
-		Addrs: f.HTTPAddrs(), Kinds: kinds, Resends: 8, ResendDelay: 50 * time.Millisecond,
+		Addrs: f.HTTPAddrs(), Kinds: kinds, MaxResends: 8, ResendDelay: 50 * time.Millisecond,
 		Phases: []load.Phase{
 			{Rate: base * calm, Duration: o.before},
 			{Rate: demand, Duration: o.surge, OnStart: func() { go trigger(f, o.scenario, true) }},
--- a/cmd/umberload/main.go
+++ b/cmd/umberload/main.go
@@ -25,7 +25,7 @@
 	keyed := app.Flag("keyed", "Give each request an Idempotency-Key.").Bool()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 
-	o := load.Options{Addrs: *entries, Resends: *resends, ResendDelay: *pause, HonorRetryAfter: *polite}
+	o := load.Options{Addrs: *entries, MaxResends: *resends, ResendDelay: *pause, HonorRetryAfter: *polite}
 	for _, t := range *targets {
 		o.Kinds = append(o.Kinds, load.RequestKind{Target: t, ArrivalFraction: 1 / float64(len(*targets)), Deadline: *deadline, BodyBytes: *body, Keyed: *keyed})
 	}
--- a/e2e/traffic_test.go
+++ b/e2e/traffic_test.go
@@ -113,7 +113,7 @@
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		r = load.Run(load.Options{Addrs: f.HTTPAddrs(), Kinds: []load.RequestKind{k}, Resends: 60, ResendDelay: 100 * time.Millisecond, Phases: []load.Phase{{Rate: 60, Duration: 8 * time.Second}}})
+		r = load.Run(load.Options{Addrs: f.HTTPAddrs(), Kinds: []load.RequestKind{k}, MaxResends: 60, ResendDelay: 100 * time.Millisecond, Phases: []load.Phase{{Rate: 60, Duration: 8 * time.Second}}})
 	}()
 	time.Sleep(time.Second)
 	entry.Signal(syscall.SIGSTOP)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -49,7 +49,7 @@
 	Phases []Phase
 	// Resends is how often a caller sends a failed request again, with the
 	// same id, within its deadline.
-	Resends int
+	MaxResends int
 	// Pause is the time before a resend. Callers that retry hard ignore
 	// what the refusal asks of them.
 	ResendDelay time.Duration
@@ -153,7 +153,7 @@
 		sent := time.Now()
 		wait := r.try(ctx, &k, key, &out)
 		out.LastAttemptLatency = time.Since(sent)
-		if out.OK || out.Attempts > r.o.Resends || time.Now().Add(wait).After(deadline) {
+		if out.OK || out.Attempts > r.o.MaxResends || time.Now().Add(wait).After(deadline) {
 			break
 		}
 		time.Sleep(wait)
