--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,5 +1,6 @@
-// Package load sends requests in an open loop: they start when they are due,
-// whatever became of those before, and latency counts from that time.
+// Package load generates requests in an open loop: they start at their scheduled times,
+// independently of the outcomes of earlier ones, and latency is measured from the
+// scheduled time.
 package load
 
 import (
@@ -20,61 +21,65 @@
 	"golang.org/x/time/rate"
 )
 
-// Kind is one kind of request in the mix.
+// RequestKind is one kind of request in the mix.
 type RequestKind struct {
 	// Target is fleet/service/kind.
 	Target string
-	// Share is its share of the arrivals.
+	// ArrivalFraction is its fraction of the arrivals.
 	ArrivalFraction float64
 	// Deadline is how long the caller waits for the whole request.
 	Deadline time.Duration
-	// Body is the size of the request body in bytes.
+	// BodyBytes is the size of the request body.
 	BodyBytes int
 	// Keyed requests carry an Idempotency-Key.
 	Keyed bool
 }
 
-// Phase is a span of time with one rate of arrivals.
+// Phase is a period with a constant arrival rate, in requests per second. OnStart, if
+// not nil, is called at its start.
 type Phase struct {
 	Rate     float64
 	Duration time.Duration
 	OnStart  func()
 }
 
-// Options describe a run.
+// Options configures a run.
 type Options struct {
-	// Entries are the HTTP addresses of the nodes that callers use.
+	// Addrs are the HTTP addresses that requests are sent to, in rotation.
 	Addrs  []string
 	Kinds  []RequestKind
 	Phases []Phase
-	// Resends is how often a caller sends a failed request again, with the
-	// same id, within its deadline.
+	// MaxResends bounds how often a caller resends a failed request, with the same
+	// id and within its deadline.
 	MaxResends int
-	// Pause is the time before a resend. Callers that retry hard ignore
-	// what the refusal asks of them.
+	// ResendDelay is the time before a resend, unless HonorRetryAfter applies.
 	ResendDelay time.Duration
-	// Direct sends to backend servers instead of nodes.
+	// DirectToServers sends to backend servers instead of nodes.
 	DirectToServers bool
-	// Polite callers wait as long as the refusal asks.
+	// HonorRetryAfter makes callers wait for the time in the Retry-After header.
 	HonorRetryAfter bool
 }
 
-// Outcome is what became of one request.
+// Outcome is the outcome of one request over all its attempts. Status and Reason are
+// those of the last attempt, Detail that of the last problem document. ScheduledAt is
+// relative to the start of the run.
 type Outcome struct {
-	ID                 string
-	Kind               int
-	ScheduledAt        time.Duration
-	Latency            time.Duration
-	OK                 bool
-	Attempts           int
-	Status             int
-	Reason             string
-	Detail             string
+	ID          string
+	Kind        int
+	ScheduledAt time.Duration
+	Latency     time.Duration
+	OK          bool
+	Attempts    int
+	Status      int
+	Reason      string
+	Detail      string
+	// ResponseMismatch is set if a successful response lacks the request's id and is
+	// not marked as replayed.
 	ResponseMismatch   bool
 	LastAttemptLatency time.Duration
 }
 
-// Result is the outcome of a run.
+// Result holds the outcomes of a run.
 type Result struct {
 	Options  Options
 	Outcomes []Outcome
@@ -82,36 +87,36 @@
 }
 
 const (
-	maxHist     = int64(10 * time.Minute / time.Microsecond)
-	histFigures = 3
+	maxLatencyMicroseconds = int64(10 * time.Minute / time.Microsecond)
+	significantFigures     = 3
 )
 
-// Run sends the load and waits for all answers.
+// Run runs the phases in order and waits for all requests to complete.
 func Run(o Options) *Result {
-	r := &runner{o: o, start: time.Now()}
+	r := &runner{options: o, start: time.Now()}
 	r.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2048, MaxIdleConns: 0, DisableCompression: true}}
 	for _, p := range o.Phases {
-		r.phase(p)
+		r.runPhase(p)
 	}
 	r.wg.Wait()
 	r.client.CloseIdleConnections()
 	return &Result{Options: o, Outcomes: r.outcomes, Elapsed: time.Since(r.start)}
 }
 
+// runner is the state of a run.
 type runner struct {
-	o      Options
-	client *http.Client
-	start  time.Time
-	next   atomic.Uint64
-	wg     sync.WaitGroup
+	options  Options
+	client   *http.Client
+	start    time.Time
+	nextAddr atomic.Uint64
+	wg       sync.WaitGroup
 
 	mu       sync.Mutex
 	outcomes []Outcome
 }
 
-// phase paces the arrivals; a limiter that falls behind catches up, so that
-// the load stays open.
-func (r *runner) phase(p Phase) {
+// runPhase starts requests at the rate of the phase, without waiting for earlier ones.
+func (r *runner) runPhase(p Phase) {
 	if p.OnStart != nil {
 		p.OnStart()
 	}
@@ -121,25 +126,27 @@
 	for lim.Wait(ctx) == nil {
 		due := time.Since(r.start)
 		r.wg.Add(1)
-		go r.send(r.pick(), due)
+		go r.sendRequest(r.pickKind(), due)
 	}
 	<-ctx.Done()
 }
 
-func (r *runner) pick() int {
+// pickKind draws the index of a request kind by arrival fractions.
+func (r *runner) pickKind() int {
 	draw := rand.Float64()
-	for i, k := range r.o.Kinds {
+	for i, k := range r.options.Kinds {
 		if draw < k.ArrivalFraction {
 			return i
 		}
 		draw -= k.ArrivalFraction
 	}
-	return len(r.o.Kinds) - 1
+	return len(r.options.Kinds) - 1
 }
 
-func (r *runner) send(kind int, due time.Duration) {
+// sendRequest sends a request with its resends and records the outcome.
+func (r *runner) sendRequest(kind int, due time.Duration) {
 	defer r.wg.Done()
-	k := r.o.Kinds[kind]
+	k := r.options.Kinds[kind]
 	out := Outcome{ID: uuid.NewString(), Kind: kind, ScheduledAt: due}
 	key := ""
 	if k.Keyed {
@@ -151,9 +158,9 @@
 	for {
 		out.Attempts++
 		sent := time.Now()
-		wait := r.try(ctx, &k, key, &out)
+		wait := r.attempt(ctx, &k, key, &out)
 		out.LastAttemptLatency = time.Since(sent)
-		if out.OK || out.Attempts > r.o.MaxResends || time.Now().Add(wait).After(deadline) {
+		if out.OK || out.Attempts > r.options.MaxResends || time.Now().Add(wait).After(deadline) {
 			break
 		}
 		time.Sleep(wait)
@@ -164,17 +171,18 @@
 	r.mu.Unlock()
 }
 
-// try sends the request once and returns how long to wait before a resend.
-func (r *runner) try(ctx context.Context, k *RequestKind, key string, out *Outcome) time.Duration {
-	entry := r.o.Addrs[r.next.Add(1)%uint64(len(r.o.Addrs))]
+// attempt sends the request once, records the outcome and returns the time to wait
+// before a resend.
+func (r *runner) attempt(ctx context.Context, k *RequestKind, key string, out *Outcome) time.Duration {
+	addr := r.options.Addrs[r.nextAddr.Add(1)%uint64(len(r.options.Addrs))]
 	path := "/call/" + k.Target
-	if r.o.DirectToServers {
+	if r.options.DirectToServers {
 		path = k.Target[strings.LastIndexByte(k.Target, '/'):]
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+path, bytes.NewReader(make([]byte, k.BodyBytes)))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(make([]byte, k.BodyBytes)))
 	if err != nil {
 		out.Reason = "malformed"
-		return r.o.ResendDelay
+		return r.options.ResendDelay
 	}
 	req.Header.Set("Umber-Request-Id", out.ID)
 	left, _ := ctx.Deadline()
@@ -185,7 +193,7 @@
 	resp, err := r.client.Do(req)
 	if err != nil {
 		out.Status, out.Reason = 0, "no-answer"
-		return r.o.ResendDelay
+		return r.options.ResendDelay
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
@@ -193,7 +201,7 @@
 	out.Reason = resp.Status
 	if err != nil {
 		out.Reason = "cut-off"
-		return r.o.ResendDelay
+		return r.options.ResendDelay
 	}
 	if resp.StatusCode == http.StatusOK {
 		out.OK = true
@@ -209,16 +217,16 @@
 		out.Reason = problem.Reason
 		out.Detail = problem.Detail
 	}
-	if seconds, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil && r.o.HonorRetryAfter {
+	if seconds, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil && r.options.HonorRetryAfter {
 		return time.Duration(seconds) * time.Second
 	}
-	return r.o.ResendDelay
+	return r.options.ResendDelay
 }
 
-// Latency returns the latencies of the served requests of a kind that were
-// due within a span; kind -1 means all.
+// LatencyHistogram returns the latencies, in microseconds, of the successful requests of
+// a kind that were scheduled from one time up to another; kind -1 selects all kinds.
 func (r *Result) LatencyHistogram(kind int, from, to time.Duration) *hdrhistogram.Histogram {
-	h := hdrhistogram.New(1, maxHist, histFigures)
+	h := hdrhistogram.New(1, maxLatencyMicroseconds, significantFigures)
 	for _, o := range r.Outcomes {
 		if (kind < 0 || o.Kind == kind) && o.OK && o.ScheduledAt >= from && o.ScheduledAt < to {
 			_ = h.RecordValue(max(1, o.Latency.Microseconds()))
