--- a/cmd/umberbench/commit.go
+++ b/cmd/umberbench/commit.go
@@ -27,9 +27,9 @@
 `
 
 // commitKinds is an even mix of keyed and unkeyed requests.
-var commitKinds = []load.Kind{
-	{Target: "suva/claims-hub/lodge", Share: 0.5, Deadline: 5 * time.Second, Body: 200, Keyed: true},
-	{Target: "suva/claims-hub/status", Share: 0.5, Deadline: 5 * time.Second, Body: 200},
+var commitKinds = []load.RequestKind{
+	{Target: "suva/claims-hub/lodge", ArrivalFraction: 0.5, Deadline: 5 * time.Second, BodyBytes: 200, Keyed: true},
+	{Target: "suva/claims-hub/status", ArrivalFraction: 0.5, Deadline: 5 * time.Second, BodyBytes: 200},
 }
 
 // commitOptions are the flags of the commit command.
@@ -57,7 +57,7 @@
 // measureCommit runs the measurement on an empty fleet and prints the results.
 func measureCommit(f *harness.Fleet, o commitOptions) error {
 	for _, d := range kigaliDomains[:3] {
-		n, err := f.StartNode(harness.NodeSpec{Domain: d, Disk: true, Extra: []string{"replicas = 3", "shards = 4"}})
+		n, err := f.StartNode(harness.NodeSpec{Domain: d, HasDisk: true, ExtraSettings: []string{"replicas = 3", "shards = 4"}})
 		if err != nil {
 			return err
 		}
@@ -65,13 +65,13 @@
 			return err
 		}
 	}
-	if err := f.Form(f.Nodes[0]); err != nil {
+	if err := f.FormReplicaGroups(f.Nodes[0]); err != nil {
 		return err
 	}
 	if err := awaitVoters(f, 3); err != nil {
 		return err
 	}
-	version, err := f.Configure(f.Nodes[0], commitSettings, nil)
+	version, err := f.ApplySettings(f.Nodes[0], commitSettings, nil)
 	if err != nil {
 		return err
 	}
@@ -84,7 +84,7 @@
 		return err
 	}
 	for _, rate := range []float64{o.requestRate / 8, o.requestRate} {
-		r := load.Run(load.Options{Entries: f.Entries(), Kinds: commitKinds, Phases: []load.Phase{{Rate: rate, For: o.runDuration}}})
+		r := load.Run(load.Options{Addrs: f.HTTPAddrs(), Kinds: commitKinds, Phases: []load.Phase{{Rate: rate, Duration: o.runDuration}}})
 		served := 0
 		for _, out := range r.Outcomes {
 			if out.OK {
@@ -92,7 +92,7 @@
 			}
 		}
 		for i, k := range commitKinds {
-			h := r.Latency(i, 0, o.runDuration)
+			h := r.LatencyHistogram(i, 0, o.runDuration)
 			fmt.Printf("rate=%g %s served=%d of=%d p50=%dus p99=%dus\n", rate, k.Target, served, len(r.Outcomes), h.ValueAtQuantile(50), h.ValueAtQuantile(99))
 		}
 	}
--- a/cmd/umberbench/demo.go
+++ b/cmd/umberbench/demo.go
@@ -24,16 +24,16 @@
 }
 
 // demoKinds is the request mix of the demonstration.
-var demoKinds = []load.Kind{
-	{Target: "kigali/sheets/open", Share: 0.25, Deadline: 10 * time.Second},
-	{Target: "kigali/sheets/preview", Share: 0.15, Deadline: 2 * time.Second},
-	{Target: "kigali/bookings/confirm", Share: 0.15, Deadline: 8 * time.Second, Body: 200, Keyed: true},
-	{Target: "kigali/bookings/list", Share: 0.1, Deadline: 5 * time.Second},
-	{Target: "kigali/locations/upload", Share: 0.1, Deadline: 30 * time.Second, Body: 2 << 20},
-	{Target: "kigali/locations/find", Share: 0.1, Deadline: 5 * time.Second},
-	{Target: "kigali/rosters/day", Share: 0.05, Deadline: 5 * time.Second},
-	{Target: "kigali/rosters/catering", Share: 0.05, Deadline: 5 * time.Second},
-	{Target: "kigali/rosters/transport", Share: 0.05, Deadline: 5 * time.Second},
+var demoKinds = []load.RequestKind{
+	{Target: "kigali/sheets/open", ArrivalFraction: 0.25, Deadline: 10 * time.Second},
+	{Target: "kigali/sheets/preview", ArrivalFraction: 0.15, Deadline: 2 * time.Second},
+	{Target: "kigali/bookings/confirm", ArrivalFraction: 0.15, Deadline: 8 * time.Second, BodyBytes: 200, Keyed: true},
+	{Target: "kigali/bookings/list", ArrivalFraction: 0.1, Deadline: 5 * time.Second},
+	{Target: "kigali/locations/upload", ArrivalFraction: 0.1, Deadline: 30 * time.Second, BodyBytes: 2 << 20},
+	{Target: "kigali/locations/find", ArrivalFraction: 0.1, Deadline: 5 * time.Second},
+	{Target: "kigali/rosters/day", ArrivalFraction: 0.05, Deadline: 5 * time.Second},
+	{Target: "kigali/rosters/catering", ArrivalFraction: 0.05, Deadline: 5 * time.Second},
+	{Target: "kigali/rosters/transport", ArrivalFraction: 0.05, Deadline: 5 * time.Second},
 }
 
 // runDemo starts the demonstration fleet, sends requests of every kind and fails
@@ -54,7 +54,7 @@
 		if err := awaitKindsServed(f, demoKinds); err != nil {
 			return err
 		}
-		r = load.Run(load.Options{Entries: f.Entries(), Kinds: demoKinds, Phases: []load.Phase{{Rate: 60, For: 6 * time.Second}}})
+		r = load.Run(load.Options{Addrs: f.HTTPAddrs(), Kinds: demoKinds, Phases: []load.Phase{{Rate: 60, Duration: 6 * time.Second}}})
 		served = printOutcomes(r)
 		fmt.Println("Stopping all gracefully.")
 		return nil
@@ -75,17 +75,17 @@
 	if err := startFleet(f, kigaliDomains, demoServices, func(d, s int) bool { return (d+s)%2 == 0 }); err != nil {
 		return err
 	}
-	_, err := f.Configure(f.Nodes[0], tree, nil)
+	_, err := f.ApplySettings(f.Nodes[0], tree, nil)
 	return err
 }
 
 // awaitKindsServed waits until every node serves a request of each kind.
-func awaitKindsServed(f *harness.Fleet, kinds []load.Kind) error {
+func awaitKindsServed(f *harness.Fleet, kinds []load.RequestKind) error {
 	return harness.Await(20*time.Second, func() error {
 		for _, k := range kinds {
-			k.Share = 1
+			k.ArrivalFraction = 1
 			for _, n := range f.Nodes {
-				r := load.Run(load.Options{Entries: []string{n.HTTP}, Kinds: []load.Kind{k}, Phases: []load.Phase{{Rate: 1000, For: time.Millisecond}}})
+				r := load.Run(load.Options{Addrs: []string{n.HTTP}, Kinds: []load.RequestKind{k}, Phases: []load.Phase{{Rate: 1000, Duration: time.Millisecond}}})
 				for _, o := range r.Outcomes {
 					if !o.OK {
 						return fault.Newf(fault.NoBackend, "%s at %s: %s", k.Target, n.Name, o.Reason)
@@ -111,14 +111,14 @@
 				continue
 			}
 			sent++
-			if o.OK && !o.Wrong {
+			if o.OK && !o.ResponseMismatch {
 				served++
 			} else {
 				reasons[o.Reason]++
 			}
 		}
 		total += served
-		h := r.Latency(i, 0, time.Hour)
+		h := r.LatencyHistogram(i, 0, time.Hour)
 		p50 := time.Duration(h.ValueAtQuantile(50)) * time.Microsecond
 		p99 := time.Duration(h.ValueAtQuantile(99)) * time.Microsecond
 		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\t%s\n", k.Target, sent, served, p50, p99, formatReasonCounts(reasons))
--- a/cmd/umberbench/fleet.go
+++ b/cmd/umberbench/fleet.go
@@ -59,7 +59,7 @@
 			if !hasNode(d, i) {
 				continue
 			}
-			n, err := f.StartNode(harness.NodeSpec{Domain: domain, Disk: disk, Extra: []string{"replicas = 3", "shards = 2"}})
+			n, err := f.StartNode(harness.NodeSpec{Domain: domain, HasDisk: disk, ExtraSettings: []string{"replicas = 3", "shards = 2"}})
 			if err != nil {
 				return err
 			}
@@ -70,7 +70,7 @@
 			}
 		}
 	}
-	if err := f.Form(f.Nodes[0]); err != nil {
+	if err := f.FormReplicaGroups(f.Nodes[0]); err != nil {
 		return err
 	}
 	return awaitVoters(f, 3)
--- a/cmd/umberbench/hop.go
+++ b/cmd/umberbench/hop.go
@@ -32,7 +32,7 @@
 // measureHop runs the measurement on an empty fleet, alternating direct and
 // routed calls, and prints the results.
 func measureHop(f *harness.Fleet, o hopOptions) error {
-	entry, err := f.StartNode(harness.NodeSpec{Domain: "nyarugenge", Disk: true, Extra: []string{"replicas = 1"}})
+	entry, err := f.StartNode(harness.NodeSpec{Domain: "nyarugenge", HasDisk: true, ExtraSettings: []string{"replicas = 1"}})
 	if err != nil {
 		return err
 	}
@@ -44,13 +44,13 @@
 	if err != nil {
 		return err
 	}
-	if err := f.Form(entry); err != nil {
+	if err := f.FormReplicaGroups(entry); err != nil {
 		return err
 	}
-	if _, err := f.Configure(entry, hopSettings, settings.Entries{}); err != nil {
+	if _, err := f.ApplySettings(entry, hopSettings, settings.Entries{}); err != nil {
 		return err
 	}
-	kinds := []load.Kind{{Target: "kigali/rosters/echo", Share: 1, Deadline: 2 * time.Second, Body: 500}}
+	kinds := []load.RequestKind{{Target: "kigali/rosters/echo", ArrivalFraction: 1, Deadline: 2 * time.Second, BodyBytes: 500}}
 	if err := awaitKindsServed(f, kinds); err != nil {
 		return err
 	}
@@ -71,15 +71,15 @@
 
 // measureLatency sends calls to entry and returns their p50 and p99 latency. It
 // fails if any call fails.
-func measureLatency(o hopOptions, kinds []load.Kind, entry string, direct bool) ([2]time.Duration, error) {
-	r := load.Run(load.Options{Entries: []string{entry}, Kinds: kinds, Direct: direct, Phases: []load.Phase{{Rate: o.callRate, For: o.runDuration}}})
+func measureLatency(o hopOptions, kinds []load.RequestKind, entry string, direct bool) ([2]time.Duration, error) {
+	r := load.Run(load.Options{Addrs: []string{entry}, Kinds: kinds, DirectToServers: direct, Phases: []load.Phase{{Rate: o.callRate, Duration: o.runDuration}}})
 	for _, out := range r.Outcomes {
 		if !out.OK {
 			return [2]time.Duration{}, fault.Newf(fault.Internal, "a call failed: %s", out.Reason)
 		}
 	}
 	// Skip the first second, in which connections are opened.
-	h := r.Latency(0, time.Second, o.runDuration)
+	h := r.LatencyHistogram(0, time.Second, o.runDuration)
 	percentile := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
 	return [2]time.Duration{percentile(50), percentile(99)}, nil
 }
--- a/cmd/umberbench/model.go
+++ b/cmd/umberbench/model.go
@@ -22,7 +22,7 @@
 // loadNames returns the names of the loads that can be simulated, sorted.
 func loadNames() []string {
 	var names []string
-	for name := range fleetmodel.Loads {
+	for name := range fleetmodel.Scenarios {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -37,7 +37,7 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "load\tworth\tdeviation\tby kind")
 	for _, name := range o.loads {
-		load, ok := fleetmodel.Loads[name]
+		load, ok := fleetmodel.Scenarios[name]
 		if !ok {
 			return fault.Newf(fault.NotFound, "unknown load %q; known loads are %v", name, loadNames())
 		}
@@ -48,7 +48,7 @@
 
 // simulateLoad simulates a fleet once for each seed and reports progress on
 // standard error.
-func simulateLoad(name string, f fleetmodel.Fleet, seeds int) []*fleetmodel.Result {
+func simulateLoad(name string, f fleetmodel.Scenario, seeds int) []*fleetmodel.Result {
 	var all []*fleetmodel.Result
 	for seed := range seeds {
 		began := time.Now()
@@ -65,12 +65,12 @@
 	byKind := map[string][]float64{}
 	var kinds []string
 	for _, r := range all {
-		worths = append(worths, r.Worth())
+		worths = append(worths, r.ValueFraction())
 		for kind, k := range r.Kinds {
 			if byKind[kind] == nil {
 				kinds = append(kinds, kind)
 			}
-			byKind[kind] = append(byKind[kind], k.Share())
+			byKind[kind] = append(byKind[kind], k.ValueFraction())
 		}
 	}
 	slices.Sort(kinds)
--- a/cmd/umberbench/scale.go
+++ b/cmd/umberbench/scale.go
@@ -47,12 +47,12 @@
 // measureFleetSize measures an empty fleet grown to size nodes and prints a row.
 func measureFleetSize(f *harness.Fleet, size int, o scaleOptions) error {
 	for i := range size {
-		spec := harness.NodeSpec{Domain: kigaliDomains[i%len(kigaliDomains)], Disk: i < 3, Extra: []string{"replicas = 3"}}
+		spec := harness.NodeSpec{Domain: kigaliDomains[i%len(kigaliDomains)], HasDisk: i < 3, ExtraSettings: []string{"replicas = 3"}}
 		if _, err := f.StartNode(spec); err != nil {
 			return err
 		}
 	}
-	if err := f.Form(f.Nodes[0]); err != nil {
+	if err := f.FormReplicaGroups(f.Nodes[0]); err != nil {
 		return err
 	}
 	if err := awaitVoters(f, 3); err != nil {
@@ -173,7 +173,7 @@
 func lastActivation(f *harness.Fleet, version uint64) (time.Time, error) {
 	var last time.Time
 	text := fmt.Sprintf("Version %d is in force.", version)
-	for _, a := range ctl.QueryAll[[]node.Event](f.Admins(), "/v1/events", nil) {
+	for _, a := range ctl.QueryAll[[]node.Event](f.AdminAddrs(), "/v1/events", nil) {
 		if a.Err != nil {
 			return last, a.Err
 		}
--- a/cmd/umberbench/soak.go
+++ b/cmd/umberbench/soak.go
@@ -85,12 +85,12 @@
 func (o soakOptions) plannedRuns(bin string) []soak.Options {
 	var out []soak.Options
 	add := func(seed uint64, span time.Duration, stalls bool) {
-		out = append(out, soak.Options{Bin: bin, Seed: seed, Span: span, Stalls: stalls, Poison: o.poison, Nodes: o.nodes, PerSecond: o.requestRate})
+		out = append(out, soak.Options{Bin: bin, Seed: seed, Duration: span, DiskStalls: stalls, PoisonRequest: o.poison, Nodes: o.nodes, RequestRate: o.requestRate})
 	}
 	if o.replayFailures {
-		for _, f := range soak.Failures {
+		for _, f := range soak.KnownFailures {
 			fmt.Printf("seed %d: once %s\n", f.Seed, f.Cause)
-			add(f.Seed, f.Span, f.Stalls)
+			add(f.Seed, f.Duration, f.DiskStalls)
 		}
 		return out
 	}
@@ -137,7 +137,7 @@
 
 // printStepCounts prints how often each kind of step was planned and executed.
 func printStepCounts(reports []*soak.Report) {
-	planned, played := map[soak.Kind]int{}, map[soak.Kind]int{}
+	planned, played := map[soak.StepKind]int{}, map[soak.StepKind]int{}
 	for _, rep := range reports {
 		for _, s := range rep.Steps {
 			planned[s.Kind]++
--- a/cmd/umberbench/study.go
+++ b/cmd/umberbench/study.go
@@ -27,7 +27,7 @@
 
 // runStudy simulates a failure domain of each size and prints a table.
 func runStudy(o studyOptions) error {
-	var all []study.Figures
+	var all []study.Result
 	for _, size := range o.sizes {
 		began := time.Now()
 		progress := func(what string) {
@@ -43,21 +43,21 @@
 }
 
 // printStudy prints one row per simulated failure domain.
-func printStudy(all []study.Figures) {
+func printStudy(all []study.Result) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "members\tsettled s\tquiet B/s\trestarts B/s\tsuspected /h\theld dead /h\tnoticed s, median\t99%\tby all, longest\tin force ms, median\t99%\tlongest")
 	for _, f := range all {
 		_, _ = fmt.Fprintf(w, "%d\t%.0f\t%.0f\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%d\t%d\n",
-			f.Members, f.Settle.Seconds(), f.Quiet, f.Restarting, f.Suspected, f.Killed,
-			f.Noticed.Median.Seconds(), f.Noticed.P99.Seconds(), f.All.Longest.Seconds(),
-			f.InForce.Median.Milliseconds(), f.InForce.P99.Milliseconds(), f.InForce.Longest.Milliseconds())
+			f.Members, f.SettleTime.Seconds(), f.IdleBytesPerSecond, f.RestartBytesPerSecond, f.FalseSuspicionsPerHour, f.FalseDeathsPerHour,
+			f.DetectionTime.Median.Seconds(), f.DetectionTime.P99.Seconds(), f.FullDetectionTime.Max.Seconds(),
+			f.SettingsPropagationTime.Median.Milliseconds(), f.SettingsPropagationTime.P99.Milliseconds(), f.SettingsPropagationTime.Max.Milliseconds())
 	}
 	_ = w.Flush()
 }
 
 // plotStudy plots failure detection and settings activation times by the number
 // of members.
-func plotStudy(path string, all []study.Figures) error {
+func plotStudy(path string, all []study.Result) error {
 	p := plot.New()
 	p.Title.Text = "A failure domain in virtual time"
 	p.X.Label.Text = "members"
@@ -68,11 +68,11 @@
 	p.Legend.Left = true
 	lines := []struct {
 		name string
-		of   func(study.Figures) time.Duration
+		of   func(study.Result) time.Duration
 	}{
-		{"a loss noticed, median", func(f study.Figures) time.Duration { return f.Noticed.Median }},
-		{"a loss noticed by all, longest", func(f study.Figures) time.Duration { return f.All.Longest }},
-		{"a change in force on all, longest", func(f study.Figures) time.Duration { return f.InForce.Longest }},
+		{"a loss noticed, median", func(f study.Result) time.Duration { return f.DetectionTime.Median }},
+		{"a loss noticed by all, longest", func(f study.Result) time.Duration { return f.FullDetectionTime.Max }},
+		{"a change in force on all, longest", func(f study.Result) time.Duration { return f.SettingsPropagationTime.Max }},
 	}
 	for i, l := range lines {
 		pts := make(plotter.XYs, len(all))
--- a/cmd/umberbench/surge.go
+++ b/cmd/umberbench/surge.go
@@ -58,18 +58,18 @@
 
 // surgeKind is a request kind with the number of rosters calls of each request.
 type surgeKind struct {
-	load.Kind
+	load.RequestKind
 	rostersCalls int
 	protected    bool
 }
 
 // surgeKinds is the request mix of the surge.
 var surgeKinds = []surgeKind{
-	{load.Kind{Target: "kigali/sheets/open", Share: 0.08, Deadline: 4 * time.Second}, 1, true},
-	{load.Kind{Target: "kigali/sheets/preview", Share: 0.22, Deadline: 2 * time.Second}, 3, false},
-	{load.Kind{Target: "kigali/bookings/list", Share: 0.30, Deadline: 2 * time.Second}, 1, false},
-	{load.Kind{Target: "kigali/rosters/catering", Share: 0.30, Deadline: 2 * time.Second}, 1, false},
-	{load.Kind{Target: "kigali/locations/find", Share: 0.10, Deadline: 2 * time.Second}, 0, false},
+	{load.RequestKind{Target: "kigali/sheets/open", ArrivalFraction: 0.08, Deadline: 4 * time.Second}, 1, true},
+	{load.RequestKind{Target: "kigali/sheets/preview", ArrivalFraction: 0.22, Deadline: 2 * time.Second}, 3, false},
+	{load.RequestKind{Target: "kigali/bookings/list", ArrivalFraction: 0.30, Deadline: 2 * time.Second}, 1, false},
+	{load.RequestKind{Target: "kigali/rosters/catering", ArrivalFraction: 0.30, Deadline: 2 * time.Second}, 1, false},
+	{load.RequestKind{Target: "kigali/locations/find", ArrivalFraction: 0.10, Deadline: 2 * time.Second}, 0, false},
 }
 
 // rostersCapacity returns the calls per second that the rosters service can serve.
@@ -81,7 +81,7 @@
 func rostersCallsPerRequest() float64 {
 	sum := 0.0
 	for _, k := range surgeKinds {
-		sum += k.Share * float64(k.rostersCalls)
+		sum += k.ArrivalFraction * float64(k.rostersCalls)
 	}
 	return sum
 }
@@ -172,12 +172,12 @@
 	if err := startFleet(f, kigaliDomains, surgeServices, func(int, int) bool { return true }); err != nil {
 		return nil, err
 	}
-	if _, err := f.Configure(f.Nodes[0], string(tree), settings.Entries{"kigali#policy": policy}); err != nil {
+	if _, err := f.ApplySettings(f.Nodes[0], string(tree), settings.Entries{"kigali#policy": policy}); err != nil {
 		return nil, err
 	}
-	var kinds []load.Kind
+	var kinds []load.RequestKind
 	for _, k := range surgeKinds {
-		kinds = append(kinds, k.Kind)
+		kinds = append(kinds, k.RequestKind)
 	}
 	if err := awaitKindsServed(f, kinds); err != nil {
 		return nil, err
@@ -188,11 +188,11 @@
 		demand = base * baselineLoad
 	}
 	r := load.Run(load.Options{
-		Entries: f.Entries(), Kinds: kinds, Resends: 8, Pause: 50 * time.Millisecond,
+		Addrs: f.HTTPAddrs(), Kinds: kinds, MaxResends: 8, ResendDelay: 50 * time.Millisecond,
 		Phases: []load.Phase{
-			{Rate: base * baselineLoad, For: o.baselineDuration},
-			{Rate: demand, For: o.surgeDuration, Start: func() { go applyScenario(f, o.scenario, true) }},
-			{Rate: base * baselineLoad, For: o.recoveryDuration, Start: func() { go applyScenario(f, o.scenario, false) }},
+			{Rate: base * baselineLoad, Duration: o.baselineDuration},
+			{Rate: demand, Duration: o.surgeDuration, OnStart: func() { go applyScenario(f, o.scenario, true) }},
+			{Rate: base * baselineLoad, Duration: o.recoveryDuration, OnStart: func() { go applyScenario(f, o.scenario, false) }},
 		},
 	})
 	return evaluateRun(f, o, policy, demandFactor, r)
@@ -216,11 +216,11 @@
 	}
 	switch scenario {
 	case scenarioSlow, scenarioSurgeAndSlow:
-		set(rosters, standin.Faults{Slow: 4})
+		set(rosters, standin.Faults{SlowdownFactor: 4})
 	case scenarioGrayFail:
-		set(rosters[:1], standin.Faults{Fail: 0.9})
+		set(rosters[:1], standin.Faults{FailureRate: 0.9})
 	case scenarioGraySlow:
-		set(rosters[:1], standin.Faults{Slow: 10})
+		set(rosters[:1], standin.Faults{SlowdownFactor: 10})
 	case scenarioHalfKilled:
 		for _, s := range rosters[:len(rosters)/2] {
 			if begin {
@@ -267,10 +267,10 @@
 		ok = 1
 	}
 	switch {
-	case out.Due < from:
+	case out.ScheduledAt < from:
 		t.baselineTotal++
 		t.baselineServed += ok
-	case out.Due < to:
+	case out.ScheduledAt < to:
 		t.demandedCalls += float64(k.rostersCalls)
 		t.usefulCalls += float64(ok * k.rostersCalls)
 		if k.protected {
@@ -291,7 +291,7 @@
 	var t requestCounts
 	for i := range r.Outcomes {
 		t.add(&r.Outcomes[i], from, to)
-		if r.Outcomes[i].Wrong {
+		if r.Outcomes[i].ResponseMismatch {
 			res.wrongResponses++
 		}
 	}
@@ -304,7 +304,7 @@
 	}
 	res.usefulCallRates = usefulCallRates(r)
 	res.measureRecovery(r, to)
-	h := r.Latency(-1, from, to)
+	h := r.LatencyHistogram(-1, from, to)
 	res.p50 = time.Duration(h.ValueAtQuantile(50)) * time.Microsecond
 	res.p99 = time.Duration(h.ValueAtQuantile(99)) * time.Microsecond
 	res.p999 = time.Duration(h.ValueAtQuantile(99.9)) * time.Microsecond
@@ -322,10 +322,10 @@
 	}
 	var total, wasted float64
 	for _, s := range f.Servers {
-		if s.Wait(0) {
+		if s.WaitExit(0) {
 			continue
 		}
-		work, err := s.Work()
+		work, err := s.RequestStats()
 		if err != nil {
 			return err
 		}
@@ -333,9 +333,9 @@
 			if _, counted := ok[id]; !counted {
 				continue
 			}
-			total += float64(w.Us)
+			total += float64(w.ServiceMicroseconds)
 			if !ok[id] {
-				wasted += float64(w.Us)
+				wasted += float64(w.ServiceMicroseconds)
 			}
 		}
 	}
@@ -360,7 +360,7 @@
 func usefulCallRates(r *load.Result) []float64 {
 	var out []float64
 	for _, o := range r.Outcomes {
-		at := int(o.Due / rateInterval)
+		at := int(o.ScheduledAt / rateInterval)
 		for len(out) <= at {
 			out = append(out, 0)
 		}
@@ -379,10 +379,10 @@
 	bins := map[int]*bin{}
 	last := 0
 	for _, o := range r.Outcomes {
-		if o.Due < end {
+		if o.ScheduledAt < end {
 			continue
 		}
-		at := int((o.Due - end) / rateInterval)
+		at := int((o.ScheduledAt - end) / rateInterval)
 		if bins[at] == nil {
 			bins[at] = &bin{}
 		}
@@ -413,10 +413,10 @@
 
 // refusalP99 returns the p99 latency of the refusals.
 func refusalP99(r *load.Result) time.Duration {
-	h := (&load.Result{}).Latency(-1, 0, 0)
+	h := (&load.Result{}).LatencyHistogram(-1, 0, 0)
 	for _, o := range r.Outcomes {
 		if !o.OK && o.Status == 503 {
-			_ = h.RecordValue(max(1, o.LastTook.Microseconds()))
+			_ = h.RecordValue(max(1, o.LastAttemptLatency.Microseconds()))
 		}
 	}
 	return time.Duration(h.ValueAtQuantile(99)) * time.Microsecond
--- a/cmd/umberload/main.go
+++ b/cmd/umberload/main.go
@@ -26,11 +26,11 @@
 	keyed := app.Flag("keyed", "Give each request an Idempotency-Key.").Bool()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 
-	o := load.Options{Entries: *entries, Resends: *resends, Pause: *pause, Polite: *polite}
+	o := load.Options{Addrs: *entries, MaxResends: *resends, ResendDelay: *pause, HonorRetryAfter: *polite}
 	for _, t := range *targets {
-		o.Kinds = append(o.Kinds, load.Kind{Target: t, Share: 1 / float64(len(*targets)), Deadline: *deadline, Body: *body, Keyed: *keyed})
+		o.Kinds = append(o.Kinds, load.RequestKind{Target: t, ArrivalFraction: 1 / float64(len(*targets)), Deadline: *deadline, BodyBytes: *body, Keyed: *keyed})
 	}
-	o.Phases = []load.Phase{{Rate: *rate, For: *duration}}
+	o.Phases = []load.Phase{{Rate: *rate, Duration: *duration}}
 	printResult(load.Run(o))
 }
 
@@ -46,7 +46,7 @@
 			reasons[o.Reason]++
 		}
 	}
-	h := r.Latency(-1, 0, time.Hour)
+	h := r.LatencyHistogram(-1, 0, time.Hour)
 	percentile := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
 	fmt.Printf("sent=%d served=%d p50=%s p99=%s p99.9=%s\n", len(r.Outcomes), served, percentile(50), percentile(99), percentile(99.9))
 	for reason, n := range reasons {
--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -74,13 +74,13 @@
 	}
 	t.Cleanup(func() {
 		for _, n := range f.Nodes {
-			if n.Proc != nil {
+			if n.Process != nil {
 				n.Signal(syscall.SIGCONT)
 				n.Signal(syscall.SIGKILL)
 			}
 		}
 		for _, s := range f.Servers {
-			if s.Proc != nil {
+			if s.Process != nil {
 				s.Signal(syscall.SIGKILL)
 			}
 		}
@@ -104,7 +104,7 @@
 // startNode starts a node in a failure domain; with disk it holds a replica.
 func (f *testFleet) startNode(domain string, disk bool, extra ...string) *harness.Node {
 	f.t.Helper()
-	n, err := f.StartNode(harness.NodeSpec{Domain: domain, Disk: disk, Extra: append([]string{`replace_after = "3s"`, "replicas = 3"}, extra...)})
+	n, err := f.StartNode(harness.NodeSpec{Domain: domain, HasDisk: disk, ExtraSettings: append([]string{`replace_after = "3s"`, "replicas = 3"}, extra...)})
 	f.noError(err)
 	return n
 }
@@ -124,9 +124,9 @@
 	for _, d := range []string{"suva-a", "suva-b", "suva-c"} {
 		f.startNode(d, true)
 	}
-	f.noError(f.Form(f.Nodes[0]))
+	f.noError(f.FormReplicaGroups(f.Nodes[0]))
 	f.awaitVoters(3)
-	_, err := f.Configure(f.Nodes[0], initialSettings, nil)
+	_, err := f.ApplySettings(f.Nodes[0], initialSettings, nil)
 	f.noError(err)
 }
 
@@ -138,7 +138,7 @@
 		ids := map[string]bool{}
 		var nodes []*harness.Node
 		for _, nd := range f.Nodes {
-			if nd.Folder != "" && !nd.Wait(0) {
+			if nd.DataFolder != "" && !nd.WaitExit(0) {
 				nodes = append(nodes, nd)
 			}
 		}
@@ -200,7 +200,7 @@
 	found := -1
 	f.g.Eventually(func() int {
 		for i, n := range f.Nodes {
-			if n.Wait(0) || contains(excluded, i) {
+			if n.WaitExit(0) || contains(excluded, i) {
 				continue
 			}
 			s, err := n.Status()
@@ -231,10 +231,10 @@
 	f.t.Helper()
 	f.g.Eventually(func() error {
 		for _, n := range f.Nodes {
-			if n.Wait(0) {
+			if n.WaitExit(0) {
 				continue
 			}
-			r := load.Run(load.Options{Entries: []string{n.HTTP}, Kinds: []load.Kind{requestKind(target, 3*time.Second)}, Phases: []load.Phase{{Rate: 1000, For: time.Millisecond}}})
+			r := load.Run(load.Options{Addrs: []string{n.HTTP}, Kinds: []load.RequestKind{requestKind(target, 3*time.Second)}, Phases: []load.Phase{{Rate: 1000, Duration: time.Millisecond}}})
 			for _, o := range r.Outcomes {
 				if !o.OK {
 					return fmt.Errorf("%s: %s", n.Name, o.Reason)
@@ -246,17 +246,17 @@
 }
 
 // requestKind returns a load of one target kind.
-func requestKind(target string, deadline time.Duration) load.Kind {
-	return load.Kind{Target: target, Share: 1, Deadline: deadline}
+func requestKind(target string, deadline time.Duration) load.RequestKind {
+	return load.RequestKind{Target: target, ArrivalFraction: 1, Deadline: deadline}
 }
 
 // removeDataFolder simulates the loss of a stopped node's disk.
-func (f *testFleet) removeDataFolder(n *harness.Node) { f.noError(os.RemoveAll(n.Folder)) }
+func (f *testFleet) removeDataFolder(n *harness.Node) { f.noError(os.RemoveAll(n.DataFolder)) }
 
 // kill sends SIGKILL to a node and waits for it to exit.
 func (f *testFleet) kill(n *harness.Node) {
 	n.Signal(syscall.SIGKILL)
-	if !n.Wait(5 * time.Second) {
+	if !n.WaitExit(5 * time.Second) {
 		f.t.Fatal("a killed process did not exit")
 	}
 }
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	g := gomega.NewWithT(t)
 	for _, seed := range seeds {
-		rep, err := soak.Run(soak.Options{Bin: binDir, Seed: seed, Span: faultDuration, Stalls: stalls})
+		rep, err := soak.Run(soak.Options{Bin: binDir, Seed: seed, Duration: faultDuration, DiskStalls: stalls})
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(rep.Broken).To(gomega.BeEmpty(), "seed %d, steps %v, logs in %s", seed, rep.Steps, rep.Folder)
 		g.Expect(rep.Served).To(gomega.BeNumerically(">", rep.Attempts/2))
--- a/e2e/state_test.go
+++ b/e2e/state_test.go
@@ -40,7 +40,7 @@
 		t.Logf("first change accepted %s after the leader was killed", time.Since(started).Round(time.Millisecond))
 		f.g.Expect(time.Since(started)).To(gomega.BeNumerically("<", 4*time.Second))
 		f.g.Expect(v2).To(gomega.BeNumerically(">", v))
-		f.noError(f.Restart(f.Nodes[l]))
+		f.noError(f.RestartNode(f.Nodes[l]))
 		last = v2
 	}
 	f.noError(f.AwaitVersion(last, 5*time.Second))
@@ -86,7 +86,7 @@
 		lost := time.Now()
 		f.kill(f.Nodes[i])
 		f.removeDataFolder(f.Nodes[i])
-		f.noError(f.Restart(f.Nodes[i]))
+		f.noError(f.RestartNode(f.Nodes[i]))
 		f.awaitVoters(3)
 		after, err := f.Nodes[i].Status()
 		f.noError(err)
@@ -105,7 +105,7 @@
 // the given time.
 func (f *testFleet) expectNotReadded(id string, since time.Time) {
 	f.t.Helper()
-	for _, a := range ctl.QueryAll[[]node.Event](f.Admins(), "/v1/events", nil) {
+	for _, a := range ctl.QueryAll[[]node.Event](f.AdminAddrs(), "/v1/events", nil) {
 		for _, e := range a.Value {
 			if e.Time.After(since) {
 				f.g.Expect(e.Text).NotTo(gomega.ContainSubstring("added " + id))
@@ -123,12 +123,12 @@
 	before, err := n.Status()
 	f.noError(err)
 	f.kill(n)
-	path := filepath.Join(n.Folder, "group-0", "log")
+	path := filepath.Join(n.DataFolder, "group-0", "log")
 	b, err := os.ReadFile(path)
 	f.noError(err)
 	b[len(b)/2] ^= 4
 	f.noError(os.WriteFile(path, b, 0o644))
-	f.noError(f.Restart(n))
+	f.noError(f.RestartNode(n))
 	f.awaitVoters(3)
 	after, err := n.Status()
 	f.noError(err)
@@ -173,10 +173,10 @@
 		f.kill(n)
 	}
 	for _, n := range f.Nodes[:3] {
-		f.noError(f.Restart(n))
+		f.noError(f.RestartNode(n))
 	}
 	started := time.Now()
-	f.noError(f.Restart(plain))
+	f.noError(f.RestartNode(plain))
 	f.noError(f.AwaitVersion(v, 10*time.Second))
 	t.Logf("%d changes active on a restarted node after %s", 500, time.Since(started).Round(time.Millisecond))
 }
--- a/e2e/traffic_test.go
+++ b/e2e/traffic_test.go
@@ -18,7 +18,7 @@
 func (f *testFleet) runDuringLoad(entries []string, target string, span time.Duration, during func()) *load.Result {
 	done := make(chan *load.Result, 1)
 	go func() {
-		done <- load.Run(load.Options{Entries: entries, Kinds: []load.Kind{requestKind(target, 3*time.Second)}, Phases: []load.Phase{{Rate: 150, For: span}}})
+		done <- load.Run(load.Options{Addrs: entries, Kinds: []load.RequestKind{requestKind(target, 3*time.Second)}, Phases: []load.Phase{{Rate: 150, Duration: span}}})
 	}()
 	time.Sleep(2 * time.Second)
 	during()
@@ -41,15 +41,15 @@
 	a := f.startServer(f.Nodes[0], "suva/cover-desk", 16, "check=30ms", "note=30ms")
 	f.startServer(f.Nodes[1], "suva/cover-desk", 16, "check=30ms", "note=30ms")
 	f.awaitServed("suva/cover-desk/note")
-	var before map[string]standin.Work
-	r := f.runDuringLoad(f.Entries(), "suva/cover-desk/note", 6*time.Second, func() {
-		f.noError(a.SetFaults(standin.Faults{State: "draining"}))
+	var before map[string]standin.RequestStats
+	r := f.runDuringLoad(f.HTTPAddrs(), "suva/cover-desk/note", 6*time.Second, func() {
+		f.noError(a.SetFaults(standin.Faults{AnnouncedState: "draining"}))
 		time.Sleep(2 * time.Second)
 		var err error
-		before, err = a.Work()
+		before, err = a.RequestStats()
 		f.noError(err)
 	})
-	after, err := a.Work()
+	after, err := a.RequestStats()
 	f.noError(err)
 	f.g.Expect(len(after)).To(gomega.Equal(len(before)), "new requests reached the backend server two seconds after the drain")
 	f.expectAllServed(r)
@@ -66,10 +66,10 @@
 	}
 	f.awaitServed("suva/cover-desk/note")
 	// Callers use only the nodes that keep running.
-	r := f.runDuringLoad(f.Entries()[:3], "suva/cover-desk/note", 5*time.Second, func() {
+	r := f.runDuringLoad(f.HTTPAddrs()[:3], "suva/cover-desk/note", 5*time.Second, func() {
 		extra.Signal(syscall.SIGTERM)
-		f.g.Expect(extra.Wait(10 * time.Second)).To(gomega.BeTrue())
-		f.g.Expect(extra.Exit()).To(gomega.BeZero())
+		f.g.Expect(extra.WaitExit(10 * time.Second)).To(gomega.BeTrue())
+		f.g.Expect(extra.ExitCode()).To(gomega.BeZero())
 	})
 	f.expectAllServed(r)
 }
@@ -84,7 +84,7 @@
 		f.startServer(n, "suva/cover-desk", 16, "check=30ms", "note=30ms")
 	}
 	f.awaitServed("suva/cover-desk/check")
-	r := f.runDuringLoad(f.Entries()[:3], "suva/cover-desk/check", 5*time.Second, func() { f.kill(extra) })
+	r := f.runDuringLoad(f.HTTPAddrs()[:3], "suva/cover-desk/check", 5*time.Second, func() { f.kill(extra) })
 	failed := 0
 	for _, o := range r.Outcomes {
 		if !o.OK {
@@ -108,13 +108,13 @@
 	f.awaitServed("suva/claims-hub/status")
 	k := requestKind("suva/claims-hub/lodge", 5*time.Second)
 	k.Keyed = true
-	k.Body = 100
+	k.BodyBytes = 100
 	var wg sync.WaitGroup
 	var r *load.Result
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		r = load.Run(load.Options{Entries: f.Entries(), Kinds: []load.Kind{k}, Resends: 60, Pause: 100 * time.Millisecond, Phases: []load.Phase{{Rate: 60, For: 8 * time.Second}}})
+		r = load.Run(load.Options{Addrs: f.HTTPAddrs(), Kinds: []load.RequestKind{k}, MaxResends: 60, ResendDelay: 100 * time.Millisecond, Phases: []load.Phase{{Rate: 60, Duration: 8 * time.Second}}})
 	}()
 	time.Sleep(time.Second)
 	entry.Signal(syscall.SIGSTOP)
@@ -123,16 +123,16 @@
 	l := f.awaitLeader()
 	f.kill(f.Nodes[l])
 	time.Sleep(2 * time.Second)
-	f.noError(f.Restart(f.Nodes[l]))
+	f.noError(f.RestartNode(f.Nodes[l]))
 	wg.Wait()
 	runs := map[string]int{}
 	total := 0
 	for _, s := range servers {
-		work, err := s.Work()
+		work, err := s.RequestStats()
 		f.noError(err)
 		for id, w := range work {
-			runs[id] += w.Runs
-			total += w.Runs
+			runs[id] += w.Executions
+			total += w.Executions
 		}
 	}
 	served := 0
--- a/internal/node/chain_test.go
+++ b/internal/node/chain_test.go
@@ -39,12 +39,12 @@
 	entry := startNode(t, "remera", bootstrap, nil)
 	useSettings(t, chainSettings, first, second, third, entry)
 	servers = []*standin.Server{
-		startStandin(t, first, "kigali/sheets", 16, map[string]standin.Kind{
-			"open": {Time: time.Millisecond, Calls: []string{"kigali/locations/find"}, Answer: 1024}}),
-		startStandin(t, second, "kigali/locations", 16, map[string]standin.Kind{
-			"find": {Time: time.Millisecond, Calls: []string{"kigali/rosters/day"}, Answer: 300}}),
-		startStandin(t, third, "kigali/rosters", 16, map[string]standin.Kind{
-			"day": {Time: time.Millisecond, Answer: 300}}),
+		startStandin(t, first, "kigali/sheets", 16, map[string]standin.KindBehavior{
+			"open": {MeanServiceTime: time.Millisecond, Calls: []string{"kigali/locations/find"}, ResponseBytes: 1024}}),
+		startStandin(t, second, "kigali/locations", 16, map[string]standin.KindBehavior{
+			"find": {MeanServiceTime: time.Millisecond, Calls: []string{"kigali/rosters/day"}, ResponseBytes: 300}}),
+		startStandin(t, third, "kigali/rosters", 16, map[string]standin.KindBehavior{
+			"day": {MeanServiceTime: time.Millisecond, ResponseBytes: 300}}),
 	}
 	entry.awaitInstances("kigali/sheets", 1)
 	first.awaitInstances("kigali/locations", 1)
@@ -61,7 +61,7 @@
 	g.Expect(r.body).To(gomega.HavePrefix("request-1 5\n"))
 	g.Expect(r.body).To(gomega.HaveLen(1024))
 	for _, s := range servers {
-		g.Expect(s.Work()).To(gomega.HaveKey("request-1"))
+		g.Expect(s.RequestStats()).To(gomega.HaveKey("request-1"))
 	}
 }
 
--- a/internal/node/execution_status_test.go
+++ b/internal/node/execution_status_test.go
@@ -20,15 +20,15 @@
 func TestRefusedNestedCallLeavesExecutionUnknown(t *testing.T) {
 	g := gomega.NewWithT(t)
 	entry, servers := startChain(t)
-	servers[2].SetFaults(standin.Faults{State: "draining"})
+	servers[2].SetFaults(standin.Faults{AnnouncedState: "draining"})
 	g.Eventually(func() string { return entry.call("kigali/sheets/open", "", nil, nil).problem().Reason }, 5*time.Second).
 		Should(gomega.Equal("no-backend"))
 	r := entry.call("kigali/sheets/open", "told", nil, nil)
 	g.Expect(r.problem().Execution).To(gomega.Equal("unknown"))
 	g.Expect(r.header.Get(HeaderExecution)).To(gomega.Equal("unknown"))
 	g.Expect(r.problem().RetryAfterMs).To(gomega.BeNumerically(">", 0))
-	g.Expect(servers[0].Work()["told"].Runs).To(gomega.Equal(1))
-	g.Expect(servers[2].Work()).NotTo(gomega.HaveKey("told"))
+	g.Expect(servers[0].RequestStats()["told"].Executions).To(gomega.Equal(1))
+	g.Expect(servers[2].RequestStats()).NotTo(gomega.HaveKey("told"))
 }
 
 // startFakePeer starts a node that handles each request with h.
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -66,11 +66,11 @@
 }
 
 // startStandin starts a stand-in for a node's backend server, which announces itself to the node.
-func startStandin(t testing.TB, n *testNode, service string, slots int, kinds map[string]standin.Kind) *standin.Server {
+func startStandin(t testing.TB, n *testNode, service string, slots int, kinds map[string]standin.KindBehavior) *standin.Server {
 	t.Helper()
 	s, err := standin.Start(standin.Options{
-		Service: service, Listen: "127.0.0.1:0", Node: n.opt.HTTP, Slots: slots, Connections: 4 * slots,
-		Kinds: kinds, Renew: 200 * time.Millisecond,
+		Service: service, ListenAddr: "127.0.0.1:0", NodeAddr: n.opt.HTTP, Slots: slots, Connections: 4 * slots,
+		Kinds: kinds, AnnounceInterval: 200 * time.Millisecond,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/instance_return_test.go
+++ b/internal/node/instance_return_test.go
@@ -27,12 +27,12 @@
 	g := gomega.NewWithT(t)
 	nodes, servers := startChainNodes(t)
 	second, entry := nodes[1], nodes[3]
-	servers[2].SetFaults(standin.Faults{State: "draining"})
+	servers[2].SetFaults(standin.Faults{AnnouncedState: "draining"})
 	second.awaitNoInstance("kigali/rosters")
 	entry.awaitNoInstance("kigali/rosters")
 	done := make(chan httpResult, 1)
 	go func() { done <- entry.call("kigali/sheets/open", "waits", nil, nil) }()
-	g.Eventually(func() int { return len(servers[1].Work()) }, 5*time.Second, time.Millisecond).Should(gomega.BeNumerically(">", 0))
+	g.Eventually(func() int { return len(servers[1].RequestStats()) }, 5*time.Second, time.Millisecond).Should(gomega.BeNumerically(">", 0))
 	began := time.Now()
 	refused := entry.call("kigali/rosters/day", "", nil, nil)
 	g.Expect(refused.problem().Reason).To(gomega.Equal("no-backend"))
@@ -54,7 +54,7 @@
 	first := startNode(t, "a", nil, short)
 	second := startNode(t, "b", []string{first.opt.Control}, nil)
 	useSettings(t, "[fleet.f.service.s]\n[fleet.f.service.s.kind.k]\n", first, second)
-	kinds := map[string]standin.Kind{"k": {Time: time.Millisecond, Answer: 64}}
+	kinds := map[string]standin.KindBehavior{"k": {MeanServiceTime: time.Millisecond, ResponseBytes: 64}}
 	startStandin(t, first, "f/s", 4, kinds)
 	second.awaitInstances("f/s", 1)
 	stopped := make(chan bool, 1)
@@ -93,7 +93,7 @@
 	g := gomega.NewWithT(t)
 	n := startNode(t, "a", nil, nil)
 	useSettings(t, "[fleet.f.service.s]\n[fleet.f.service.s.kind.k]\n", n)
-	startStandin(t, n, "f/s", 4, map[string]standin.Kind{"k": {Time: time.Millisecond, Answer: 64}})
+	startStandin(t, n, "f/s", 4, map[string]standin.KindBehavior{"k": {MeanServiceTime: time.Millisecond, ResponseBytes: 64}})
 	n.awaitInstances("f/s", 1)
 	c := &call{service: "f/s", depth: 1, lastFailure: fault.Overload, scope: scope.New(time.Now().Add(time.Minute))}
 	q := &route.Query{Service: "f/s", Now: n.clock(), Avoid: n.routes.Load().Services["f/s"].LocalInstances[0]}
--- a/internal/node/quarantine_test.go
+++ b/internal/node/quarantine_test.go
@@ -116,16 +116,16 @@
 // startServer starts the backend server of the node with index i at an address, retrying for
 // five seconds, as the address may still be in use.
 func (c *crashFleet) startServer(n *testNode, i int, service, addr string) *standin.Server {
-	kinds := map[string]standin.Kind{
-		"open": {Time: 20 * time.Millisecond}, "confirm": {Time: 20 * time.Millisecond}, "day": {Time: 20 * time.Millisecond},
-		"slow":  {Time: 400 * time.Millisecond},
-		"chain": {Time: time.Millisecond, Calls: []string{"kigali/rosters/day" + poisonPath}},
+	kinds := map[string]standin.KindBehavior{
+		"open": {MeanServiceTime: 20 * time.Millisecond}, "confirm": {MeanServiceTime: 20 * time.Millisecond}, "day": {MeanServiceTime: 20 * time.Millisecond},
+		"slow":  {MeanServiceTime: 400 * time.Millisecond},
+		"chain": {MeanServiceTime: time.Millisecond, Calls: []string{"kigali/rosters/day" + poisonPath}},
 	}
 	var s *standin.Server
 	gomega.NewWithT(c.t).Eventually(func() (err error) {
 		s, err = standin.Start(standin.Options{
-			Service: service, Listen: addr, Node: n.opt.HTTP, Slots: 20, Connections: 80, Renew: 200 * time.Millisecond,
-			Kinds: kinds, EndsOn: func(path string, body []byte) bool {
+			Service: service, ListenAddr: addr, NodeAddr: n.opt.HTTP, Slots: 20, Connections: 80, AnnounceInterval: 200 * time.Millisecond,
+			Kinds: kinds, CrashOn: func(path string, body []byte) bool {
 				if !isPoison(path, body) {
 					return false
 				}
@@ -146,7 +146,7 @@
 // restartOnCrash restarts a backend server each time it has stopped.
 func (c *crashFleet) restartOnCrash(n *testNode, i int, s *standin.Server, done <-chan struct{}) {
 	for {
-		<-s.Ended()
+		<-s.Done()
 		c.mu.Lock()
 		c.crashTimes = append(c.crashTimes, time.Now())
 		c.mu.Unlock()
--- a/internal/node/replica_test.go
+++ b/internal/node/replica_test.go
@@ -143,7 +143,7 @@
 	for _, n := range nodes {
 		n.awaitConfigVersion(1)
 	}
-	server := startStandin(t, nodes[2], "suva/claims-hub", 8, map[string]standin.Kind{"lodge": {Time: 20 * time.Millisecond, Answer: 64}})
+	server := startStandin(t, nodes[2], "suva/claims-hub", 8, map[string]standin.KindBehavior{"lodge": {MeanServiceTime: 20 * time.Millisecond, ResponseBytes: 64}})
 	for _, n := range nodes {
 		n.awaitInstances("suva/claims-hub", 1)
 	}
@@ -167,7 +167,7 @@
 		}()
 	}
 	wg.Wait()
-	g.Expect(server.KeyRuns()[key]).To(gomega.Equal(1))
+	g.Expect(server.ExecutionsByKey()[key]).To(gomega.Equal(1))
 	other := nodes[0].call("suva/claims-hub/lodge", "", []byte("other"), map[string]string{HeaderIdempotencyKey: key})
 	g.Expect(other.problem().Reason).To(gomega.Equal("key-mismatch"))
 }
