--- a/cmd/umberbench/main.go
+++ b/cmd/umberbench/main.go
@@ -97,6 +97,6 @@
 	}
 	if err := runs[name](); err != nil {
 		fmt.Fprintln(os.Stderr, "umberbench:", err)
-		os.Exit(fault.CodeOf(err).Exit())
+		os.Exit(fault.CodeOf(err).ExitCode())
 	}
 }
--- a/cmd/umberctl/main.go
+++ b/cmd/umberctl/main.go
@@ -32,7 +32,7 @@
 	if err := c.runs[name](out); err != nil {
 		e := fault.From(err)
 		fmt.Fprintln(os.Stderr, "umberctl:", err)
-		os.Exit(e.Code.Exit())
+		os.Exit(e.Code.ExitCode())
 	}
 }
 
--- a/cmd/umberstand/main.go
+++ b/cmd/umberstand/main.go
@@ -28,7 +28,7 @@
 	o.Renew = time.Second
 	if err := run(o, *kinds); err != nil {
 		fmt.Fprintln(os.Stderr, "umberstand:", err)
-		os.Exit(fault.CodeOf(err).Exit())
+		os.Exit(fault.CodeOf(err).ExitCode())
 	}
 }
 
--- a/cmd/umberthreadd/main.go
+++ b/cmd/umberthreadd/main.go
@@ -36,7 +36,7 @@
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	if err := run(*path, *check); err != nil {
 		fmt.Fprintln(os.Stderr, "umberthreadd:", err)
-		os.Exit(fault.CodeOf(err).Exit())
+		os.Exit(fault.CodeOf(err).ExitCode())
 	}
 }
 
--- a/fault/fault.go
+++ b/fault/fault.go
@@ -145,7 +145,7 @@
 }
 
 // Exit returns the exit code of the command-line tool for the code.
-func (c Code) Exit() int {
+func (c Code) ExitCode() int {
 	if c >= numCodes {
 		return 1
 	}
