--- a/burn/burn.go
+++ b/burn/burn.go
@@ -54,7 +54,7 @@
 	mu       sync.Mutex
 	fine     [fineSize]counter
 	coarse   [coarseSize]counter
-	failures [fault.Count]atomic.Int64
+	failures [fault.CodeCount]atomic.Int64
 }
 
 // Tracker counts the outcomes of requests by kind. It is safe for concurrent use.
--- a/fault/fault.go
+++ b/fault/fault.go
@@ -153,7 +153,7 @@
 }
 
 // Count is the number of codes, for arrays indexed by Code.
-const Count = int(numCodes)
+const CodeCount = int(numCodes)
 
 // ParseCode returns the code with the given name, and Internal and false if there is
 // none.
--- a/internal/node/stats.go
+++ b/internal/node/stats.go
@@ -19,7 +19,7 @@
 	// servedRequests counts the requests of callers and of the local backend server that were
 	// answered.
 	servedRequests atomic.Int64
-	refusals       [fault.Count]atomic.Int64
+	refusals       [fault.CodeCount]atomic.Int64
 
 	// controlBytesOut and controlBytesIn count the bytes of gossip packets.
 	controlBytesOut atomic.Int64
@@ -31,7 +31,7 @@
 // refusalsByReason returns the refusals by name of their fault code, without zeros.
 func (s *requestCounters) refusalsByReason() map[string]int64 {
 	out := map[string]int64{}
-	for c := range fault.Count {
+	for c := range fault.CodeCount {
 		if v := s.refusals[c].Load(); v > 0 {
 			out[fault.Code(c).String()] = v
 		}
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -262,7 +262,7 @@
 	r.Detail = d.string()
 	r.BodyLen = d.varint()
 	r.Header = d.fields()
-	if int(r.Code) >= fault.Count || r.Run > fault.Executed || r.BodyLen < Streamed || r.Level > rank.Count || r.PathLevel > rank.Count {
+	if int(r.Code) >= fault.CodeCount || r.Run > fault.Executed || r.BodyLen < Streamed || r.Level > rank.Count || r.PathLevel > rank.Count {
 		d.bad = true
 	}
 	return d.err()
