--- a/fault/fault.go
+++ b/fault/fault.go
@@ -196,7 +196,7 @@
 	// Code is the kind of failure.
 	Code Code
 	// Run tells whether the request was executed.
-	Run Execution
+	Execution Execution
 	// RetryAfter is the delay before a retry; zero if the failure is final.
 	RetryAfter time.Duration
 	// Detail is a short description for people.
@@ -222,7 +222,7 @@
 
 // WithUnknownExecution marks the request as possibly executed and returns e.
 func (e *Error) WithUnknownExecution() *Error {
-	e.Run = ExecutionUnknown
+	e.Execution = ExecutionUnknown
 	return e
 }
 
@@ -250,7 +250,7 @@
 	if errors.As(err, &e) {
 		return e
 	}
-	return &Error{Code: Internal, Run: ExecutionUnknown, Detail: "unexpected failure", Cause: err}
+	return &Error{Code: Internal, Execution: ExecutionUnknown, Detail: "unexpected failure", Cause: err}
 }
 
 // CodeOf returns the code of err, None for nil.
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -79,7 +79,7 @@
 	_, ferr := fetch(c, "/b", 10*time.Second)
 	g.Expect(ferr).NotTo(gomega.BeNil())
 	g.Expect(ferr.Code).To(gomega.Equal(fault.PeerSilent))
-	g.Expect(ferr.Run).To(gomega.Equal(fault.ExecutionUnknown))
+	g.Expect(ferr.Execution).To(gomega.Equal(fault.ExecutionUnknown))
 	g.Expect(time.Since(started)).To(gomega.BeNumerically("<", time.Second))
 	body, ferr := fetch(c, "/c", time.Second)
 	g.Expect(ferr).To(gomega.BeNil())
@@ -139,7 +139,7 @@
 	g.Eventually(func() int { c.mu.Lock(); defer c.mu.Unlock(); return c.openCount }).Should(gomega.Equal(4))
 	_, ferr := fetch(c, "/more", time.Second)
 	g.Expect(ferr.Code).To(gomega.Equal(fault.Overload))
-	g.Expect(ferr.Run).To(gomega.Equal(fault.NotExecuted))
+	g.Expect(ferr.Execution).To(gomega.Equal(fault.NotExecuted))
 }
 
 func TestTruncatedResponseIsAnError(t *testing.T) {
@@ -228,7 +228,7 @@
 			continue
 		}
 		g.Expect(ferr.Code).To(gomega.Equal(fault.PeerSilent))
-		g.Expect(ferr.Run).To(gomega.Equal(fault.ExecutionUnknown))
+		g.Expect(ferr.Execution).To(gomega.Equal(fault.ExecutionUnknown))
 	}
 	g.Expect(answered).To(gomega.BeNumerically(">=", slots+queue))
 	g.Expect(time.Since(started)).To(gomega.BeNumerically("<", 5*time.Second))
@@ -255,7 +255,7 @@
 	_, err = fetch(c, "/", time.Second)
 	g.Expect(err).NotTo(gomega.BeNil())
 	g.Expect(err.Code).To(gomega.Equal(fault.BackendLost))
-	g.Expect(err.Run).To(gomega.Equal(fault.NotExecuted))
+	g.Expect(err.Execution).To(gomega.Equal(fault.NotExecuted))
 	g.Expect(served.Load()).To(gomega.BeEquivalentTo(1))
 }
 
--- a/internal/backend/connection_reuse_test.go
+++ b/internal/backend/connection_reuse_test.go
@@ -78,7 +78,7 @@
 	req := request("/x", nil)
 	_, err := c.Do(scope.New(time.Now().Add(300*time.Millisecond)), RequestTraits{Kind: 1, Idempotent: true}, req, func(*http.Response) bool { return false })
 	e := fault.From(err)
-	g.Expect(e.Run).To(gomega.Equal(fault.ExecutionUnknown))
+	g.Expect(e.Execution).To(gomega.Equal(fault.ExecutionUnknown))
 }
 
 func TestKeepAliveTimeoutBoundsIdleTime(t *testing.T) {
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -70,7 +70,7 @@
 		code, _ := fault.ParseCode(p.Reason)
 		e := fault.New(code, p.Detail)
 		if p.Execution != fault.NotExecuted.String() {
-			e.Run = fault.ExecutionUnknown
+			e.Execution = fault.ExecutionUnknown
 		}
 		return e
 	}
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -165,7 +165,7 @@
 	result, err := a.node.replicas.propose(req.Group, req.Command, wait)
 	if err != nil {
 		e := fault.From(err)
-		reply.Code, reply.Run, reply.Detail = e.Code, e.Run, e.Detail
+		reply.Code, reply.Run, reply.Detail = e.Code, e.Execution, e.Detail
 		reply.Leader = a.node.replicas.leaderAddr(req.Group)
 		return nil
 	}
--- a/internal/node/document.go
+++ b/internal/node/document.go
@@ -55,8 +55,8 @@
 		}
 		b, ferr := n.submitCommand(configGroup, encodeMsgpack(&change), time.Until(deadline))
 		if ferr != nil {
-			if uncertain && ferr.Run == fault.NotExecuted {
-				ferr.Run = fault.ExecutionUnknown
+			if uncertain && ferr.Execution == fault.NotExecuted {
+				ferr.Execution = fault.ExecutionUnknown
 			}
 			return confstore.Result{}, ferr
 		}
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -251,7 +251,7 @@
 	}
 	n.stats.countRefusal(e.Code)
 	c.failureDetail = e.Detail
-	n.recordOutcome(c, e.Code, e.Run)
+	n.recordOutcome(c, e.Code, e.Execution)
 	if e.Code == fault.Canceled && c.callerLeft.Load() {
 		// No caller is left to read a response.
 		panic(http.ErrAbortHandler)
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -65,7 +65,7 @@
 		if mayHaveTerminatedBackend(ferr) {
 			c.brokenAttempts++
 		}
-		c.mayHaveExecuted = c.mayHaveExecuted || ferr == nil || ferr.Run != fault.NotExecuted
+		c.mayHaveExecuted = c.mayHaveExecuted || ferr == nil || ferr.Execution != fault.NotExecuted
 		c.recordOffer(in, ferr)
 		if ferr == nil && !n.isRetryableResponse(c, resp) {
 			return n.unwrapRefusal(c, resp)
@@ -76,7 +76,7 @@
 			}
 			if c.mayHaveExecuted {
 				// An earlier attempt may have been executed, even if the last one was not.
-				ferr.Run = fault.ExecutionUnknown
+				ferr.Execution = fault.ExecutionUnknown
 			}
 			return nil, ferr
 		}
@@ -187,7 +187,7 @@
 	}
 	f := retry.Failure{InstanceChosen: in != nil}
 	if e != nil {
-		f.Code, f.Execution = e.Code, e.Run
+		f.Code, f.Execution = e.Code, e.Execution
 	}
 	switch retry.Decide(n.retryState(c), f) {
 	case retry.RetryUncharged:
@@ -224,7 +224,7 @@
 
 // recordOffer records the instance if its backend server was offered the call.
 func (c *call) recordOffer(in *route.Instance, e *fault.Error) {
-	offered := e == nil || e.Run != fault.NotExecuted || e.Code == fault.Rejected
+	offered := e == nil || e.Execution != fault.NotExecuted || e.Code == fault.Rejected
 	if in != nil && offered && !in.IsAnyOf(c.offeredTo) {
 		c.offeredTo = append(c.offeredTo, in)
 	}
@@ -347,7 +347,7 @@
 		if isInstanceFailure(nil, ferr) {
 			n.reportEjection(in, ferr)
 		}
-		if ferr.Code == fault.PeerSilent || ferr.Code == fault.PeerLost && ferr.Run == fault.NotExecuted {
+		if ferr.Code == fault.PeerSilent || ferr.Code == fault.PeerLost && ferr.Execution == fault.NotExecuted {
 			n.peers.markUnreachable(in.Addr, in.Observed)
 		}
 		return nil, ferr
@@ -359,7 +359,7 @@
 	var ferr *fault.Error
 	if r.Code != fault.None {
 		wireResp.Close()
-		ferr = &fault.Error{Code: r.Code, Run: r.Run, RetryAfter: r.RetryAfter, Detail: r.Detail}
+		ferr = &fault.Error{Code: r.Code, Execution: r.Run, RetryAfter: r.RetryAfter, Detail: r.Detail}
 		resp = nil
 	}
 	in.Observed.End(n.clock(), route.Outcome{
@@ -388,7 +388,7 @@
 	reply.Limit = uint16(min(load.limit, 1<<16-1))
 	if ferr != nil {
 		n.logFailedPeerRequest(c, ferr)
-		reply.Code, reply.Run, reply.RetryAfter, reply.Detail = ferr.Code, ferr.Run, ferr.RetryAfter, ferr.Error()
+		reply.Code, reply.Run, reply.RetryAfter, reply.Detail = ferr.Code, ferr.Execution, ferr.RetryAfter, ferr.Error()
 		_ = x.Reply(reply, nil, nil)
 		return
 	}
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -58,21 +58,21 @@
 		p.applyEvent(requestEventRefuse)
 		l := n.gate.load()
 		e := c.refusal(code, "refused by admission control of the backend server", l.level)
-		e.Run = p.execution()
+		e.Execution = p.execution()
 		return nil, e
 	}
 	p.applyEvent(requestEventAdmit)
 	if ferr := n.quarantine.refusal(c); ferr != nil {
 		n.gate.release(admission.Outcome{})
 		p.applyEvent(requestEventExpire)
-		ferr.Run = p.execution()
+		ferr.Execution = p.execution()
 		return nil, ferr
 	}
 	// The process may have been suspended since the request was admitted.
 	if code := c.scope.Err(); code != fault.None {
 		n.gate.release(admission.Outcome{})
 		p.applyEvent(requestEventExpire)
-		return nil, &fault.Error{Code: code, Run: p.execution(), Detail: "canceled or expired before it was executed"}
+		return nil, &fault.Error{Code: code, Execution: p.execution(), Detail: "canceled or expired before it was executed"}
 	}
 	w := &execution{token: n.executionToken(c), call: c, incarnation: be.incarnation, scope: c.scope.Child(c.scope.Deadline())}
 	n.executionsByToken.Store(w.token, w)
@@ -91,12 +91,12 @@
 			out.ServiceTime, out.Expired = time.Since(started), true
 		}
 		n.gate.release(out)
-		if ferr.Run == fault.NotExecuted {
+		if ferr.Execution == fault.NotExecuted {
 			p.applyEvent(requestEventNotSent)
 		} else {
 			p.applyEvent(requestEventLose)
 		}
-		ferr.Run = p.execution()
+		ferr.Execution = p.execution()
 		n.recordIfBroken(be, c, ferr)
 		n.handleBackendFailure(be, ferr)
 		return nil, ferr
@@ -196,7 +196,7 @@
 		n.replaceLocal(nil, "another server answers at its address")
 	}
 	e := c.refusal(code, "rejected by the backend server", 0)
-	e.Run = p.execution()
+	e.Execution = p.execution()
 	return e
 }
 
@@ -278,7 +278,7 @@
 // mayHaveTerminatedBackend reports whether the backend server was lost while it may have been
 // executing the request. e may be nil.
 func mayHaveTerminatedBackend(e *fault.Error) bool {
-	return e != nil && e.Code == fault.BackendLost && e.Run != fault.NotExecuted
+	return e != nil && e.Code == fault.BackendLost && e.Execution != fault.NotExecuted
 }
 
 // kindIndexes assigns a small number to each request kind. Kinds beyond admission.MaxKinds
--- a/internal/node/once.go
+++ b/internal/node/once.go
@@ -55,7 +55,7 @@
 			ferr.RetryAfter = retry.RetryAfter(0, rand.Float64())
 		}
 		if res.Verdict == claims.Running || res.Verdict == claims.OutcomeUnknown {
-			ferr.Run = fault.ExecutionUnknown
+			ferr.Execution = fault.ExecutionUnknown
 		}
 		n.refuse(w, c, ferr)
 	}
@@ -107,7 +107,7 @@
 	if ferr == nil {
 		return res, nil
 	}
-	if ferr.Run != fault.NotExecuted {
+	if ferr.Execution != fault.NotExecuted {
 		go o.releaseKey()
 	}
 	// The request was not sent to a backend server under this token.
@@ -139,7 +139,7 @@
 func (o *keyedAttempt) execute(w http.ResponseWriter) {
 	resp, ferr := o.node.dispatch(o.call)
 	if ferr != nil {
-		if ferr.Run == fault.NotExecuted {
+		if ferr.Execution == fault.NotExecuted {
 			o.releaseKey()
 		}
 		o.node.refuse(w, o.call, ferr)
--- a/internal/node/refusal.go
+++ b/internal/node/refusal.go
@@ -34,7 +34,7 @@
 	status := e.Code.HTTPStatus()
 	p := Problem{
 		Type: problemTypePrefix + e.Code.String(), Title: http.StatusText(status), Status: status,
-		Detail: e.Error(), Reason: e.Code.String(), Execution: e.Run.String(),
+		Detail: e.Error(), Reason: e.Code.String(), Execution: e.Execution.String(),
 		RetryAfterMs: e.RetryAfter.Milliseconds(), RequestID: id,
 	}
 	h := w.Header()
--- a/internal/node/reqlog.go
+++ b/internal/node/reqlog.go
@@ -55,7 +55,7 @@
 	if e != nil {
 		c.failedAttempts.WriteString(e.Code.String())
 		c.failedAttempts.WriteByte('/')
-		c.failedAttempts.WriteString(e.Run.String())
+		c.failedAttempts.WriteString(e.Execution.String())
 		return
 	}
 	c.failedAttempts.WriteString(formatUint(uint64(status)))
@@ -114,7 +114,7 @@
 		return
 	}
 	load := n.gate.load()
-	n.info("serve", "Request of another node not completed.", "id", c.id, "kind", c.target, "reason", e.Code.String(), "run", e.Run.String(),
+	n.info("serve", "Request of another node not completed.", "id", c.id, "kind", c.target, "reason", e.Code.String(), "run", e.Execution.String(),
 		"in_flight", load.inflight, "queued", load.queued, "limit", load.limit, "admission_level", uint16(load.level), "rank", uint16(c.rank),
 		"remaining_ms", c.scope.Remaining().Milliseconds(), "detail", strings.TrimSpace(e.Detail))
 }
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -90,7 +90,7 @@
 	found := false
 	unanswered := n.askLeader(id, wait, ask, func(a replicaAnswer) bool {
 		if a.err != nil {
-			uncertain = uncertain || fault.From(a.err).Run != fault.NotExecuted
+			uncertain = uncertain || fault.From(a.err).Execution != fault.NotExecuted
 			return false
 		}
 		reply := a.reply.(*control.SubmitReply)
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -243,7 +243,7 @@
 		f = fault.Wrap(fault.PeerLost, err, "connection to "+c.addr)
 	}
 	if !notRun {
-		f.Run = fault.ExecutionUnknown
+		f.Execution = fault.ExecutionUnknown
 	}
 	return f
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -152,7 +152,7 @@
 	ferr = <-failed
 	g.Expect(ferr).NotTo(gomega.BeNil())
 	g.Expect(ferr.Code).To(gomega.Equal(fault.PeerSilent))
-	g.Expect(ferr.Run).To(gomega.Equal(fault.ExecutionUnknown))
+	g.Expect(ferr.Execution).To(gomega.Equal(fault.ExecutionUnknown))
 	g.Expect(time.Since(started)).To(gomega.BeNumerically("<", 3*silence))
 
 	_, body, ferr := send(c, "next", []byte("y"), time.Second)
@@ -218,7 +218,7 @@
 func TestNothingListensIsNotRun(t *testing.T) {
 	g := gomega.NewWithT(t)
 	_, _, ferr := send(client("127.0.0.1:1"), "x", nil, time.Second)
-	g.Expect(ferr.Run).To(gomega.Equal(fault.NotExecuted))
+	g.Expect(ferr.Execution).To(gomega.Equal(fault.NotExecuted))
 }
 
 func FuzzDecodeRequest(f *testing.F) {
