--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -170,7 +170,7 @@
 		n.attempted(c, nil, answer{code: code, run: fault.NotExecuted, level: rank.Count / 2})
 		return
 	}
-	in.Observed.Begin()
+	in.Observed.RecordSend()
 	if in.ID == n.id {
 		w := n.accept(c, c.pool, c.repeat, func(a answer) {
 			c.cancel = nil
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -253,7 +253,7 @@
 	if code != fault.None {
 		return nil, nil, c.refusal(code, "no instance of "+c.service+" accepts this request", rank.Count/2)
 	}
-	in.Observed.Begin()
+	in.Observed.RecordSend()
 	if in.ID == n.id {
 		resp, ferr := n.runOnLocalBackend(c, c.retryBudget)
 		report := n.localAttemptReport(resp, ferr)
--- a/route/failing_test.go
+++ b/route/failing_test.go
@@ -15,7 +15,7 @@
 // the backend server rejected.
 func reportAttempts(in *Instance, n, nth int, now, took time.Duration) {
 	for i := range n {
-		in.Observed.Begin()
+		in.Observed.RecordSend()
 		in.Observed.End(now, Outcome{Rejected: nth > 0 && i%nth == 0, Took: took}, EjectOptions{Failures: 5, Time: time.Second})
 	}
 }
@@ -106,7 +106,7 @@
 		}
 		in, code := s.Pick(query(now), r)
 		g.Expect(code).To(gomega.Equal(fault.None))
-		in.Observed.Begin()
+		in.Observed.RecordSend()
 		end := ending{now + usual, in, Outcome{Took: usual}}
 		bad := slices.Index(own, in) < slow
 		if bad {
@@ -138,7 +138,7 @@
 		reportAttempts(in, 100, 0, 0, 200*time.Millisecond)
 	}
 	for range 50 {
-		own[0].Observed.Begin()
+		own[0].Observed.RecordSend()
 		own[0].Observed.End(0, Outcome{Waited: 100 * time.Millisecond}, EjectOptions{Failures: 5, Time: time.Second})
 	}
 	g.Expect(pickShare(snapshot(own), own[0], 0)).To(gomega.BeNumerically("~", 0.5, 0.1))
--- a/route/instance.go
+++ b/route/instance.go
@@ -69,7 +69,7 @@
 
 // Begin counts a request sent to the instance. A request to an ejected instance is its
 // probe.
-func (o *Observations) Begin() {
+func (o *Observations) RecordSend() {
 	o.inflight.Add(1)
 	if o.Ejected() {
 		o.probing.Store(true)
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -52,7 +52,7 @@
 	for busy := 7; busy <= 10; busy++ {
 		own, other := instances("a", 3), instances("b", 3)
 		for _, in := range own {
-			in.Observed.Begin()
+			in.Observed.RecordSend()
 			in.Observed.End(0, Outcome{HasLoad: true, InFlight: uint16(busy), Limit: 10}, EjectOptions{Failures: 5})
 		}
 		s, r, spilled := snapshot(own, other), rng(), 0
@@ -93,7 +93,7 @@
 	bad := own[0]
 	e := EjectOptions{Failures: 3, Time: time.Second}
 	for range 3 {
-		bad.Observed.Begin()
+		bad.Observed.RecordSend()
 		bad.Observed.End(0, Outcome{Failed: true}, e)
 	}
 	picks := func(now time.Duration) int {
@@ -107,7 +107,7 @@
 	}
 	g.Expect(picks(500 * time.Millisecond)).To(gomega.BeZero())
 	g.Expect(picks(1100 * time.Millisecond)).To(gomega.BeNumerically(">", 0))
-	bad.Observed.Begin()
+	bad.Observed.RecordSend()
 	g.Expect(picks(1100 * time.Millisecond)).To(gomega.BeZero())
 	bad.Observed.End(1100*time.Millisecond, Outcome{HasLoad: true, Limit: 10, Took: time.Millisecond}, e)
 	g.Expect(picks(1200 * time.Millisecond)).To(gomega.BeNumerically(">", 50))
@@ -117,7 +117,7 @@
 	g := gomega.NewWithT(t)
 	own := instances("a", 4)
 	for _, in := range own {
-		in.Observed.Begin()
+		in.Observed.RecordSend()
 		in.Observed.End(0, Outcome{Failed: true}, EjectOptions{Failures: 1, Time: time.Hour})
 	}
 	_, code := snapshot(own).Pick(query(0), rng())
@@ -129,7 +129,7 @@
 	own := instances("a", 2)
 	own[1].Since = 0
 	for _, in := range own {
-		in.Observed.Begin()
+		in.Observed.RecordSend()
 		in.Observed.End(0, Outcome{HasLoad: true, InFlight: 1, Limit: 10, Took: time.Millisecond}, EjectOptions{Failures: 5})
 	}
 	s, r := snapshot(own), rng()
@@ -157,7 +157,7 @@
 		other := instances("b", rapid.IntRange(1, 4).Draw(t, "other"))
 		for _, in := range append(append([]*Instance(nil), own...), other...) {
 			in.Observed.SetDraining(rapid.Bool().Draw(t, "draining"))
-			in.Observed.Begin()
+			in.Observed.RecordSend()
 			in.Observed.End(0, Outcome{
 				Failed: rapid.Bool().Draw(t, "failed"), HasLoad: true, Limit: 10,
 				InFlight: uint16(rapid.IntRange(0, 12).Draw(t, "load")), Level: rank.Level(rapid.IntRange(0, rank.Count).Draw(t, "level")),
