--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -176,12 +176,12 @@
 			c.cancel = nil
 			n.pathOf(c).Observe(c.root.Name, c.kind.Service, a.path, p.now)
 			a.report.Took = 0
-			in.Observed.End(p.now, a.report, p.eject())
+			in.Observed.RecordOutcome(p.now, a.report, p.eject())
 			n.attempted(c, in, a)
 		})
 		if !w.ended {
 			c.cancel = func() {
-				in.Observed.End(p.now, route.Outcome{}, p.eject())
+				in.Observed.RecordOutcome(p.now, route.Outcome{}, p.eject())
 				w.cancel()
 			}
 		}
@@ -215,7 +215,7 @@
 			n.pathOf(c).Observe(c.root.Name, c.kind.Service, a.path, p.now)
 			a.report.Took = p.now - began
 		}
-		in.Observed.End(p.now, a.report, p.eject())
+		in.Observed.RecordOutcome(p.now, a.report, p.eject())
 		n.attempted(c, in, a)
 	}
 	c.cancel = func() {
@@ -224,7 +224,7 @@
 		}
 		open = false
 		c.pool.ForfeitLease(lease)
-		in.Observed.End(p.now, route.Outcome{Waited: p.now - began}, p.eject())
+		in.Observed.RecordOutcome(p.now, route.Outcome{Waited: p.now - began}, p.eject())
 		p.after(way, func() {
 			if w != nil {
 				w.cancel()
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -258,7 +258,7 @@
 		resp, ferr := n.runOnLocalBackend(c, c.retryBudget)
 		report := n.localAttemptReport(resp, ferr)
 		n.pathLevelsFor(c).Observe(c.rootTarget, c.service, n.maxLevelBelow(c, report.Level), n.clock())
-		in.Observed.End(n.clock(), report, n.ejectOptions(c))
+		in.Observed.RecordOutcome(n.clock(), report, n.ejectOptions(c))
 		return resp, in, ferr
 	}
 	resp, ferr := n.sendToPeer(c, in, now)
@@ -343,7 +343,7 @@
 		if ferr.Code == fault.Deadline {
 			report.Waited = n.clock() - now
 		}
-		in.Observed.End(n.clock(), report, n.ejectOptions(c))
+		in.Observed.RecordOutcome(n.clock(), report, n.ejectOptions(c))
 		if isInstanceFailure(nil, ferr) {
 			n.reportEjection(in, ferr)
 		}
@@ -362,7 +362,7 @@
 		ferr = &fault.Error{Code: r.Code, Execution: r.Run, RetryAfter: r.RetryAfter, Detail: r.Detail}
 		resp = nil
 	}
-	in.Observed.End(n.clock(), route.Outcome{
+	in.Observed.RecordOutcome(n.clock(), route.Outcome{
 		Failed: isInstanceFailure(resp, ferr), Rejected: r.Code == fault.Rejected, Draining: r.Code == fault.Draining,
 		HasLoad: true, Level: r.Level, InFlight: r.InFlight, Limit: r.Limit, Took: n.clock() - now,
 	}, n.ejectOptions(c))
--- a/route/instance.go
+++ b/route/instance.go
@@ -109,7 +109,7 @@
 const latencyDecay = 0.97
 
 // End records the outcome of a request counted by Begin.
-func (o *Observations) End(now time.Duration, r Outcome, e EjectOptions) {
+func (o *Observations) RecordOutcome(now time.Duration, r Outcome, e EjectOptions) {
 	o.inflight.Add(-1)
 	o.probing.Store(false)
 	o.updateFailureShare(now, r)
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -53,7 +53,7 @@
 		own, other := instances("a", 3), instances("b", 3)
 		for _, in := range own {
 			in.Observed.RecordSend()
-			in.Observed.End(0, Outcome{HasLoad: true, InFlight: uint16(busy), Limit: 10}, EjectOptions{Failures: 5})
+			in.Observed.RecordOutcome(0, Outcome{HasLoad: true, InFlight: uint16(busy), Limit: 10}, EjectOptions{Failures: 5})
 		}
 		s, r, spilled := snapshot(own, other), rng(), 0
 		for range 1000 {
@@ -94,7 +94,7 @@
 	e := EjectOptions{Failures: 3, Time: time.Second}
 	for range 3 {
 		bad.Observed.RecordSend()
-		bad.Observed.End(0, Outcome{Failed: true}, e)
+		bad.Observed.RecordOutcome(0, Outcome{Failed: true}, e)
 	}
 	picks := func(now time.Duration) int {
 		n := 0
@@ -109,7 +109,7 @@
 	g.Expect(picks(1100 * time.Millisecond)).To(gomega.BeNumerically(">", 0))
 	bad.Observed.RecordSend()
 	g.Expect(picks(1100 * time.Millisecond)).To(gomega.BeZero())
-	bad.Observed.End(1100*time.Millisecond, Outcome{HasLoad: true, Limit: 10, Took: time.Millisecond}, e)
+	bad.Observed.RecordOutcome(1100*time.Millisecond, Outcome{HasLoad: true, Limit: 10, Took: time.Millisecond}, e)
 	g.Expect(picks(1200 * time.Millisecond)).To(gomega.BeNumerically(">", 50))
 }
 
@@ -118,7 +118,7 @@
 	own := instances("a", 4)
 	for _, in := range own {
 		in.Observed.RecordSend()
-		in.Observed.End(0, Outcome{Failed: true}, EjectOptions{Failures: 1, Time: time.Hour})
+		in.Observed.RecordOutcome(0, Outcome{Failed: true}, EjectOptions{Failures: 1, Time: time.Hour})
 	}
 	_, code := snapshot(own).Pick(query(0), rng())
 	g.Expect(code).To(gomega.Equal(fault.None))
@@ -130,7 +130,7 @@
 	own[1].Since = 0
 	for _, in := range own {
 		in.Observed.RecordSend()
-		in.Observed.End(0, Outcome{HasLoad: true, InFlight: 1, Limit: 10, Took: time.Millisecond}, EjectOptions{Failures: 5})
+		in.Observed.RecordOutcome(0, Outcome{HasLoad: true, InFlight: 1, Limit: 10, Took: time.Millisecond}, EjectOptions{Failures: 5})
 	}
 	s, r := snapshot(own), rng()
 	share := func(now time.Duration) int {
@@ -158,7 +158,7 @@
 		for _, in := range append(append([]*Instance(nil), own...), other...) {
 			in.Observed.SetDraining(rapid.Bool().Draw(t, "draining"))
 			in.Observed.RecordSend()
-			in.Observed.End(0, Outcome{
+			in.Observed.RecordOutcome(0, Outcome{
 				Failed: rapid.Bool().Draw(t, "failed"), HasLoad: true, Limit: 10,
 				InFlight: uint16(rapid.IntRange(0, 12).Draw(t, "load")), Level: rank.Level(rapid.IntRange(0, rank.Count).Draw(t, "level")),
 			}, EjectOptions{Failures: 1, Time: time.Second})
