--- a/internal/fleetmodel/play.go
+++ b/internal/fleetmodel/play.go
@@ -128,7 +128,7 @@
 		}
 		// Servers have served for long when the play begins.
 		in := &route.Instance{
-			ID: n.id, Domain: strconv.Itoa(n.domain), Slots: n.server.spec.Slots, Weight: 1, Since: -time.Hour, Observed: &route.Observations{},
+			ID: n.id, Domain: strconv.Itoa(n.domain), Slots: n.server.spec.Slots, Weight: 1, ServingSince: -time.Hour, Observed: &route.Observations{},
 		}
 		domains[name][n.domain] = append(domains[name][n.domain], in)
 	}
--- a/internal/node/honest_test.go
+++ b/internal/node/honest_test.go
@@ -60,7 +60,7 @@
 		_ = x.Reply(&wire.Reply{Code: fault.Draining, Run: fault.NotExecuted}, nil, nil)
 	})
 	instance := func(id, addr string) *route.Instance {
-		return &route.Instance{ID: id, Addr: addr, Slots: 4, Weight: 1, Since: -time.Hour, Observed: &route.Observations{}}
+		return &route.Instance{ID: id, Addr: addr, Slots: 4, Weight: 1, ServingSince: -time.Hour, Observed: &route.Observations{}}
 	}
 	for range 40 {
 		n.routes.Store(&route.Snapshot{Services: map[string]*route.Service{"f/s": {LocalInstances: []*route.Instance{instance("1", breaks), instance("2", refuses)}}}})
--- a/internal/node/view.go
+++ b/internal/node/view.go
@@ -184,7 +184,7 @@
 		used[id] = true
 		addrs[addr] = true
 		k := b.stateOf(id, start)
-		in := &route.Instance{ID: id, Addr: addr, Domain: domain, Slots: slots, Weight: weight, Since: k.since, Observed: k.observed}
+		in := &route.Instance{ID: id, Addr: addr, Domain: domain, Slots: slots, Weight: weight, ServingSince: k.since, Observed: k.observed}
 		in.Observed.SetDraining(false)
 		return in
 	}
--- a/route/instance.go
+++ b/route/instance.go
@@ -23,7 +23,7 @@
 	// Weight scales the instance's share of the load; 1 is normal.
 	Weight float64
 	// Since is when the backend server began to serve, on the picker's clock.
-	Since time.Duration
+	ServingSince time.Duration
 
 	// Observed holds the observations; it is shared by successive snapshots.
 	Observed *Observations
@@ -281,7 +281,7 @@
 // rampFactor returns the share of its capacity that a new instance is given, 1 after the
 // ramp-up time.
 func (i *Instance) rampFactor(now, ramp time.Duration) float64 {
-	age := now - i.Since
+	age := now - i.ServingSince
 	if ramp <= 0 || age >= ramp {
 		return 1
 	}
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -18,7 +18,7 @@
 func instances(domain string, n int) []*Instance {
 	var out []*Instance
 	for i := range n {
-		out = append(out, &Instance{ID: fmt.Sprintf("%s%d", domain, i), Domain: domain, Slots: 10, Weight: 1, Since: servingSinceLongAgo, Observed: &Observations{}})
+		out = append(out, &Instance{ID: fmt.Sprintf("%s%d", domain, i), Domain: domain, Slots: 10, Weight: 1, ServingSince: servingSinceLongAgo, Observed: &Observations{}})
 	}
 	return out
 }
@@ -127,7 +127,7 @@
 func TestNewInstanceRampsUp(t *testing.T) {
 	g := gomega.NewWithT(t)
 	own := instances("a", 2)
-	own[1].Since = 0
+	own[1].ServingSince = 0
 	for _, in := range own {
 		in.Observed.RecordSend()
 		in.Observed.RecordOutcome(0, Outcome{HasLoad: true, InFlight: 1, Limit: 10, Took: time.Millisecond}, EjectOptions{Failures: 5})
