--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -175,7 +175,7 @@
 		w := n.accept(c, c.pool, c.repeat, func(a answer) {
 			c.cancel = nil
 			n.pathOf(c).Observe(c.root.Name, c.kind.Service, a.path, p.now)
-			a.report.Took = 0
+			a.report.Latency = 0
 			in.Observed.RecordOutcome(p.now, a.report, p.eject())
 			n.attempted(c, in, a)
 		})
@@ -213,7 +213,7 @@
 		} else {
 			c.pool.SettleLease(lease, a.spent)
 			n.pathOf(c).Observe(c.root.Name, c.kind.Service, a.path, p.now)
-			a.report.Took = p.now - began
+			a.report.Latency = p.now - began
 		}
 		in.Observed.RecordOutcome(p.now, a.report, p.eject())
 		n.attempted(c, in, a)
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -364,7 +364,7 @@
 	}
 	in.Observed.RecordOutcome(n.clock(), route.Outcome{
 		Failed: isInstanceFailure(resp, ferr), Rejected: r.Code == fault.Rejected, Draining: r.Code == fault.Draining,
-		HasLoad: true, Level: r.Level, InFlight: r.InFlight, Limit: r.Limit, Took: n.clock() - now,
+		HasLoad: true, Level: r.Level, InFlight: r.InFlight, Limit: r.Limit, Latency: n.clock() - now,
 	}, n.ejectOptions(c))
 	return resp, ferr
 }
--- a/route/failing_test.go
+++ b/route/failing_test.go
@@ -16,7 +16,7 @@
 func reportAttempts(in *Instance, n, nth int, now, took time.Duration) {
 	for i := range n {
 		in.Observed.RecordSend()
-		in.Observed.RecordOutcome(now, Outcome{Rejected: nth > 0 && i%nth == 0, Took: took}, EjectOptions{Failures: 5, Time: time.Second})
+		in.Observed.RecordOutcome(now, Outcome{Rejected: nth > 0 && i%nth == 0, Latency: took}, EjectOptions{Failures: 5, Time: time.Second})
 	}
 }
 
@@ -107,7 +107,7 @@
 		in, code := s.Pick(query(now), r)
 		g.Expect(code).To(gomega.Equal(fault.None))
 		in.Observed.RecordSend()
-		end := ending{now + usual, in, Outcome{Took: usual}}
+		end := ending{now + usual, in, Outcome{Latency: usual}}
 		bad := slices.Index(own, in) < slow
 		if bad {
 			end = ending{now + deadline, in, Outcome{Waited: deadline}}
--- a/route/instance.go
+++ b/route/instance.go
@@ -98,7 +98,7 @@
 	// InFlight and Limit are the instance's reported load and concurrency limit.
 	InFlight, Limit uint16
 	// Took is the time until the answer, zero without an answer.
-	Took time.Duration
+	Latency time.Duration
 	// Waited is how long the request waited for an answer before it timed out, zero
 	// otherwise.
 	Waited time.Duration
@@ -125,12 +125,12 @@
 		o.recordFailure(now, e)
 		return
 	}
-	if r.HasLoad || r.Took > 0 {
+	if r.HasLoad || r.Latency > 0 {
 		o.consecutiveFailures.Store(0)
 	}
-	if r.Took > 0 {
+	if r.Latency > 0 {
 		old := math.Float64frombits(o.meanLatency.Load())
-		mean := r.Took.Seconds()
+		mean := r.Latency.Seconds()
 		if old > 0 {
 			mean = old*latencyDecay + mean*(1-latencyDecay)
 		}
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -109,7 +109,7 @@
 	g.Expect(picks(1100 * time.Millisecond)).To(gomega.BeNumerically(">", 0))
 	bad.Observed.RecordSend()
 	g.Expect(picks(1100 * time.Millisecond)).To(gomega.BeZero())
-	bad.Observed.RecordOutcome(1100*time.Millisecond, Outcome{HasLoad: true, Limit: 10, Took: time.Millisecond}, e)
+	bad.Observed.RecordOutcome(1100*time.Millisecond, Outcome{HasLoad: true, Limit: 10, Latency: time.Millisecond}, e)
 	g.Expect(picks(1200 * time.Millisecond)).To(gomega.BeNumerically(">", 50))
 }
 
@@ -130,7 +130,7 @@
 	own[1].ServingSince = 0
 	for _, in := range own {
 		in.Observed.RecordSend()
-		in.Observed.RecordOutcome(0, Outcome{HasLoad: true, InFlight: 1, Limit: 10, Took: time.Millisecond}, EjectOptions{Failures: 5})
+		in.Observed.RecordOutcome(0, Outcome{HasLoad: true, InFlight: 1, Limit: 10, Latency: time.Millisecond}, EjectOptions{Failures: 5})
 	}
 	s, r := snapshot(own), rng()
 	share := func(now time.Duration) int {
