--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -224,7 +224,7 @@
 		}
 		open = false
 		c.pool.ForfeitLease(lease)
-		in.Observed.RecordOutcome(p.now, route.Outcome{Waited: p.now - began}, p.eject())
+		in.Observed.RecordOutcome(p.now, route.Outcome{TimedOutAfter: p.now - began}, p.eject())
 		p.after(way, func() {
 			if w != nil {
 				w.cancel()
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -341,7 +341,7 @@
 		ferr := fault.From(err)
 		report := route.Outcome{Failed: isInstanceFailure(nil, ferr)}
 		if ferr.Code == fault.Deadline {
-			report.Waited = n.clock() - now
+			report.TimedOutAfter = n.clock() - now
 		}
 		in.Observed.RecordOutcome(n.clock(), report, n.ejectOptions(c))
 		if isInstanceFailure(nil, ferr) {
--- a/route/failing_test.go
+++ b/route/failing_test.go
@@ -110,7 +110,7 @@
 		end := ending{now + usual, in, Outcome{Latency: usual}}
 		bad := slices.Index(own, in) < slow
 		if bad {
-			end = ending{now + deadline, in, Outcome{Waited: deadline}}
+			end = ending{now + deadline, in, Outcome{TimedOutAfter: deadline}}
 		}
 		at, _ := slices.BinarySearchFunc(open, end, func(a, b ending) int { return cmp.Compare(a.at, b.at) })
 		open = slices.Insert(open, at, end)
@@ -139,7 +139,7 @@
 	}
 	for range 50 {
 		own[0].Observed.RecordSend()
-		own[0].Observed.RecordOutcome(0, Outcome{Waited: 100 * time.Millisecond}, EjectOptions{Failures: 5, Time: time.Second})
+		own[0].Observed.RecordOutcome(0, Outcome{TimedOutAfter: 100 * time.Millisecond}, EjectOptions{Failures: 5, Time: time.Second})
 	}
 	g.Expect(pickShare(snapshot(own), own[0], 0)).To(gomega.BeNumerically("~", 0.5, 0.1))
 }
--- a/route/instance.go
+++ b/route/instance.go
@@ -101,7 +101,7 @@
 	Latency time.Duration
 	// Waited is how long the request waited for an answer before it timed out, zero
 	// otherwise.
-	Waited time.Duration
+	TimedOutAfter time.Duration
 }
 
 // latencyDecay is the weight of the old mean latency when a sample is added. It is high
@@ -175,7 +175,7 @@
 // latency, so that the instance and not a short deadline is to blame. It detects an
 // instance too slow to answer any request before its deadline.
 func (o *Observations) exceededMeanLatency(r Outcome) bool {
-	return r.Waited.Seconds() > math.Float64frombits(o.meanLatency.Load())
+	return r.TimedOutAfter.Seconds() > math.Float64frombits(o.meanLatency.Load())
 }
 
 // failureShare returns the share of failed attempts, decayed since its last update.
