--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -159,7 +159,7 @@
 	p := n.p
 	c.state.Attempts++
 	q := route.Query{
-		Service: c.kind.Service, Rank: c.rank, Depth: c.depth, Now: p.now, Avoid: c.avoid, AvoidIfOthers: c.last == fault.Rejected,
+		Service: c.kind.Service, Rank: c.rank, Depth: c.depth, Now: p.now, Avoid: c.avoid, AvoidIfPossible: c.last == fault.Rejected,
 		Options: route.Options{SpillAt: p.fleet.Policy.SpillAt, EjectMax: p.fleet.Policy.EjectMax, Ramp: p.fleet.Policy.Ramp},
 	}
 	if c.state.MaxOffered > 0 && c.state.Offered >= c.state.MaxOffered {
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -243,7 +243,7 @@
 	c.attempts++
 	now := n.clock()
 	q := route.Query{
-		Service: c.service, Rank: c.rank, Depth: c.depth, Now: now, Avoid: c.avoidInstance, AvoidIfOthers: c.lastFailure == fault.Rejected, Allowed: c.allowedInstances(),
+		Service: c.service, Rank: c.rank, Depth: c.depth, Now: now, Avoid: c.avoidInstance, AvoidIfPossible: c.lastFailure == fault.Rejected, Allowed: c.allowedInstances(),
 		Options: route.Options{SpillAt: c.policy.SpillAt, EjectMax: c.policy.EjectMax, Ramp: c.policy.Ramp},
 	}
 	if c.policy.Mode != admission.ModeFull {
--- a/route/picker.go
+++ b/route/picker.go
@@ -102,7 +102,7 @@
 	// Avoid is an instance that has just failed this request, or nil.
 	Avoid *Instance
 	// AvoidIfOthers allows Avoid to be chosen if no other instance admits the request.
-	AvoidIfOthers bool
+	AvoidIfPossible bool
 	// Allowed restricts the choice to these instances; all are allowed if it is empty.
 	Allowed []*Instance
 }
@@ -111,7 +111,7 @@
 // NoBackend, or Overload if admission levels shed the rank of the request.
 func (s *Snapshot) Pick(q *Query, r Rand) (*Instance, fault.Code) {
 	in, code := s.pick(q, r)
-	if in != nil || q.Avoid == nil || !q.AvoidIfOthers {
+	if in != nil || q.Avoid == nil || !q.AvoidIfPossible {
 		return in, code
 	}
 	all := *q
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -224,7 +224,7 @@
 	q.Allowed = []*Instance{&been}
 	_, code := s.Pick(q, r)
 	g.Expect(code).To(gomega.Equal(fault.NoBackend))
-	q.AvoidIfOthers = true
+	q.AvoidIfPossible = true
 	in, _ := s.Pick(q, r)
 	g.Expect(in).To(gomega.BeIdenticalTo(other[1]))
 }
