--- a/route/instance.go
+++ b/route/instance.go
@@ -204,7 +204,7 @@
 // EjectOptions configures when an instance is ejected and for how long.
 type EjectOptions struct {
 	// Failures is the number of consecutive failures that eject an instance.
-	Failures int
+	ConsecutiveFailures int
 	// Time is how long an instance stays ejected before it is probed.
 	Time time.Duration
 }
@@ -212,10 +212,10 @@
 // recordFailure counts a consecutive failure and ejects the instance at the limit.
 func (o *Observations) recordFailure(now time.Duration, e EjectOptions) {
 	failures := int(o.consecutiveFailures.Add(1))
-	if failures == e.Failures {
+	if failures == e.ConsecutiveFailures {
 		o.ejectionReported.Store(false)
 	}
-	if failures >= e.Failures {
+	if failures >= e.ConsecutiveFailures {
 		o.ejectedUntil.Store(int64(now + e.Time))
 	}
 }
