--- a/internal/fleetmodel/play.go
+++ b/internal/fleetmodel/play.go
@@ -70,7 +70,7 @@
 }
 
 func (p *play) eject() route.EjectOptions {
-	return route.EjectOptions{ConsecutiveFailures: p.fleet.Policy.EjectFailures, Time: p.fleet.Policy.EjectTime}
+	return route.EjectOptions{ConsecutiveFailures: p.fleet.Policy.EjectFailures, Duration: p.fleet.Policy.EjectTime}
 }
 
 func (p *play) build() {
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -298,7 +298,7 @@
 
 // ejectOptions returns the settings for ejecting failing instances.
 func (n *Node) ejectOptions(c *call) route.EjectOptions {
-	return route.EjectOptions{ConsecutiveFailures: c.policy.EjectFailures, Time: c.policy.EjectTime}
+	return route.EjectOptions{ConsecutiveFailures: c.policy.EjectFailures, Duration: c.policy.EjectTime}
 }
 
 // localAttemptReport returns the routing report on an attempt at the local backend server.
--- a/route/failing_test.go
+++ b/route/failing_test.go
@@ -16,7 +16,7 @@
 func reportAttempts(in *Instance, n, nth int, now, took time.Duration) {
 	for i := range n {
 		in.Observed.RecordSend()
-		in.Observed.RecordOutcome(now, Outcome{Rejected: nth > 0 && i%nth == 0, Latency: took}, EjectOptions{ConsecutiveFailures: 5, Time: time.Second})
+		in.Observed.RecordOutcome(now, Outcome{Rejected: nth > 0 && i%nth == 0, Latency: took}, EjectOptions{ConsecutiveFailures: 5, Duration: time.Second})
 	}
 }
 
@@ -101,7 +101,7 @@
 	met, sent := 0, 0
 	for now := time.Duration(0); now < learn+measure; now += time.Second / perSecond {
 		for len(open) > 0 && open[0].at <= now {
-			open[0].in.Observed.RecordOutcome(open[0].at, open[0].r, EjectOptions{ConsecutiveFailures: 1000, Time: time.Second})
+			open[0].in.Observed.RecordOutcome(open[0].at, open[0].r, EjectOptions{ConsecutiveFailures: 1000, Duration: time.Second})
 			open = open[1:]
 		}
 		in, code := s.Pick(query(now), r)
@@ -139,7 +139,7 @@
 	}
 	for range 50 {
 		own[0].Observed.RecordSend()
-		own[0].Observed.RecordOutcome(0, Outcome{TimedOutAfter: 100 * time.Millisecond}, EjectOptions{ConsecutiveFailures: 5, Time: time.Second})
+		own[0].Observed.RecordOutcome(0, Outcome{TimedOutAfter: 100 * time.Millisecond}, EjectOptions{ConsecutiveFailures: 5, Duration: time.Second})
 	}
 	g.Expect(pickShare(snapshot(own), own[0], 0)).To(gomega.BeNumerically("~", 0.5, 0.1))
 }
--- a/route/instance.go
+++ b/route/instance.go
@@ -206,7 +206,7 @@
 	// Failures is the number of consecutive failures that eject an instance.
 	ConsecutiveFailures int
 	// Time is how long an instance stays ejected before it is probed.
-	Time time.Duration
+	Duration time.Duration
 }
 
 // recordFailure counts a consecutive failure and ejects the instance at the limit.
@@ -216,7 +216,7 @@
 		o.ejectionReported.Store(false)
 	}
 	if failures >= e.ConsecutiveFailures {
-		o.ejectedUntil.Store(int64(now + e.Time))
+		o.ejectedUntil.Store(int64(now + e.Duration))
 	}
 }
 
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -91,7 +91,7 @@
 	own := instances("a", 4)
 	s, r := snapshot(own), rng()
 	bad := own[0]
-	e := EjectOptions{ConsecutiveFailures: 3, Time: time.Second}
+	e := EjectOptions{ConsecutiveFailures: 3, Duration: time.Second}
 	for range 3 {
 		bad.Observed.RecordSend()
 		bad.Observed.RecordOutcome(0, Outcome{Failed: true}, e)
@@ -118,7 +118,7 @@
 	own := instances("a", 4)
 	for _, in := range own {
 		in.Observed.RecordSend()
-		in.Observed.RecordOutcome(0, Outcome{Failed: true}, EjectOptions{ConsecutiveFailures: 1, Time: time.Hour})
+		in.Observed.RecordOutcome(0, Outcome{Failed: true}, EjectOptions{ConsecutiveFailures: 1, Duration: time.Hour})
 	}
 	_, code := snapshot(own).Pick(query(0), rng())
 	g.Expect(code).To(gomega.Equal(fault.None))
@@ -161,7 +161,7 @@
 			in.Observed.RecordOutcome(0, Outcome{
 				Failed: rapid.Bool().Draw(t, "failed"), HasLoad: true, Limit: 10,
 				InFlight: uint16(rapid.IntRange(0, 12).Draw(t, "load")), Level: rank.Level(rapid.IntRange(0, rank.Count).Draw(t, "level")),
-			}, EjectOptions{ConsecutiveFailures: 1, Time: time.Second})
+			}, EjectOptions{ConsecutiveFailures: 1, Duration: time.Second})
 		}
 		q := query(time.Millisecond)
 		q.Avoid = other[0]
