--- a/internal/node/poison_test.go
+++ b/internal/node/poison_test.go
@@ -396,6 +396,6 @@
 		g.Expect(q.refusal(c)).NotTo(gomega.BeNil())
 		q.applyMemberMeta("another", &member.Meta{Answered: []member.AnsweredRequest{{Mark: fingerprint, AtMs: time.Now().UnixMilli() + int64(round)}}})
 		g.Expect(q.refusal(c)).To(gomega.BeNil(), "round %d", round)
-		q.responses.Note(-time.Hour, c.fingerprints)
+		q.responses.Record(-time.Hour, c.fingerprints)
 	}
 }
--- a/internal/node/quarantine.go
+++ b/internal/node/quarantine.go
@@ -145,7 +145,7 @@
 // recordResponse records that a backend server answered the call completely, which clears its
 // fingerprints.
 func (q *quarantineManager) recordResponse(c *call) {
-	q.responses.Note(q.n.clock(), c.fingerprints)
+	q.responses.Record(q.n.clock(), c.fingerprints)
 	if v := q.view.Load(); !v.Empty() && v.IsSuspect(c.fingerprints) {
 		q.clearFingerprints(c.fingerprints)
 	}
--- a/internal/node/quarantine_news.go
+++ b/internal/node/quarantine_news.go
@@ -35,7 +35,7 @@
 		return false
 	}
 	fingerprint := quarantine.Fingerprint(a.Mark)
-	q.responses.Note(q.n.clock(), quarantine.Fingerprints{Content: fingerprint})
+	q.responses.Record(q.n.clock(), quarantine.Fingerprints{Content: fingerprint})
 	q.clearFingerprint(fingerprint)
 	q.rebuildView()
 	return true
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -45,7 +45,7 @@
 }
 
 // Note records that a backend server answered a request with the fingerprints.
-func (a *RecentAnswers) Note(now time.Duration, m Fingerprints) {
+func (a *RecentAnswers) Record(now time.Duration, m Fingerprints) {
 	a.recordFingerprint(now, m.Content)
 	a.recordFingerprint(now, m.Caller)
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -210,13 +210,13 @@
 	m := Fingerprints{Content: 1 << 40, Caller: 3<<40 + 1}
 	g.Expect(a.AnsweredRecently(0, m.Content)).To(gomega.BeFalse())
 	for _, now := range []time.Duration{time.Second, 100 * time.Hour} {
-		a.Note(now, m)
+		a.Record(now, m)
 		g.Expect(a.AnsweredRecently(now, m.Content)).To(gomega.BeTrue())
 		g.Expect(a.AnsweredRecently(now+answerLifetime/2, m.Caller)).To(gomega.BeTrue())
 		g.Expect(a.AnsweredRecently(now+answerLifetime, m.Content)).To(gomega.BeFalse())
 		g.Expect(a.AnsweredRecently(now, 5<<40)).To(gomega.BeFalse(), "another fingerprint in the same slot")
 	}
-	a.Note(0, Fingerprints{Content: 8 << 40})
+	a.Record(0, Fingerprints{Content: 8 << 40})
 	g.Expect(a.AnsweredRecently(0, 0)).To(gomega.BeFalse())
 }
 
@@ -230,6 +230,6 @@
 	for i := range b.N {
 		m := Fingerprints{Content: Fingerprint(i) << 20, Caller: Fingerprint(i) << 21}
 		v.Remaining(0, m)
-		a.Note(time.Duration(i), m)
+		a.Record(time.Duration(i), m)
 	}
 }
