--- a/internal/node/quarantine_news.go
+++ b/internal/node/quarantine_news.go
@@ -139,7 +139,7 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.table.Held(q.n.clock())
+	return q.table.ActiveQuarantines(q.n.clock())
 }
 
 // adoptQuarantines takes over the active quarantines of another node.
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -107,7 +107,7 @@
 	for i := range 12 {
 		recordPoisonTermination(table, time.Duration(i)*100*time.Millisecond, i)
 	}
-	held := table.Held(time.Second)
+	held := table.ActiveQuarantines(time.Second)
 	g.Expect(held).To(gomega.HaveLen(1))
 	g.Expect(held[0].Round).To(gomega.Equal(1))
 	g.Expect(held[0].Ends).To(gomega.Equal(12))
@@ -155,7 +155,7 @@
 	}
 	longest := initialQuarantine + time.Duration(quarantineJitter*float64(initialQuarantine))
 	g.Expect(table.View(longest).Remaining(longest, Fingerprints{Content: poison})).To(gomega.BeZero())
-	g.Expect(table.Held(longest)).To(gomega.BeEmpty())
+	g.Expect(table.ActiveQuarantines(longest)).To(gomega.BeEmpty())
 	later := suspectLifetime + time.Second
 	g.Expect(table.View(later).Empty()).To(gomega.BeTrue())
 	recordPoisonTermination(table, later, 20)
@@ -195,7 +195,7 @@
 	for i := range TerminationThreshold {
 		recordPoisonTermination(table, 0, i)
 	}
-	other.Adopt(time.Minute, table.Held(5*time.Second))
+	other.Adopt(time.Minute, table.ActiveQuarantines(5*time.Second))
 	left := other.View(time.Minute).Remaining(time.Minute, Fingerprints{Content: poison})
 	g.Expect(left).To(gomega.BeNumerically("~", table.View(0).Remaining(5*time.Second, Fingerprints{Content: poison}), time.Millisecond))
 	g.Expect(recordPoisonTermination(other, time.Minute+left+time.Second, 50)[0].Round).To(gomega.Equal(2), "the next termination follows another try")
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -250,7 +250,7 @@
 }
 
 // Held returns the fingerprints in quarantine.
-func (t *Table) Held(now time.Duration) []QuarantinedRequest {
+func (t *Table) ActiveQuarantines(now time.Duration) []QuarantinedRequest {
 	var out []QuarantinedRequest
 	for m, s := range t.repeat {
 		if now < s.quarantinedUntil {
