--- a/internal/node/quarantine_news.go
+++ b/internal/node/quarantine_news.go
@@ -149,7 +149,7 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.table.Adopt(q.n.clock(), held)
+	q.table.AddQuarantines(q.n.clock(), held)
 	q.rebuildView()
 }
 
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -195,11 +195,11 @@
 	for i := range TerminationThreshold {
 		recordPoisonTermination(table, 0, i)
 	}
-	other.Adopt(time.Minute, table.ActiveQuarantines(5*time.Second))
+	other.AddQuarantines(time.Minute, table.ActiveQuarantines(5*time.Second))
 	left := other.View(time.Minute).Remaining(time.Minute, Fingerprints{Content: poison})
 	g.Expect(left).To(gomega.BeNumerically("~", table.View(0).Remaining(5*time.Second, Fingerprints{Content: poison}), time.Millisecond))
 	g.Expect(recordPoisonTermination(other, time.Minute+left+time.Second, 50)[0].Round).To(gomega.Equal(2), "the next termination follows another try")
-	other.Adopt(0, []QuarantinedRequest{{Mark: 9, Round: 1, Left: -time.Second}, {Mark: 0, Round: 1, Left: time.Hour}})
+	other.AddQuarantines(0, []QuarantinedRequest{{Mark: 9, Round: 1, Left: -time.Second}, {Mark: 0, Round: 1, Left: time.Hour}})
 	g.Expect(other.View(0).Remaining(0, Fingerprints{Content: 9})).To(gomega.BeZero())
 	g.Expect(other.View(0).Remaining(0, Fingerprints{})).To(gomega.BeZero())
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -266,7 +266,7 @@
 }
 
 // Adopt adds the quarantines of another node to those of a node that has just started.
-func (t *Table) Adopt(now time.Duration, held []QuarantinedRequest) {
+func (t *Table) AddQuarantines(now time.Duration, held []QuarantinedRequest) {
 	for _, h := range held {
 		if h.Mark == 0 || h.Left <= 0 {
 			continue
