--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -70,7 +70,7 @@
 	case a.err != nil:
 		s.RecordNoResponse(now, a.addr)
 	case a.code == fault.NotLeader:
-		s.NotLeader(now, a.addr, a.leader)
+		s.RecordNotLeader(now, a.addr, a.leader)
 	default:
 		s.NoQuorum(now, a.addr)
 	}
--- a/seek/seek.go
+++ b/seek/seek.go
@@ -97,7 +97,7 @@
 
 // NotLeader records that a replica answered that it is not the leader. leader is the one
 // that it names, "" if none.
-func (s *LeaderSearch) NotLeader(now time.Duration, addr, leader string) {
+func (s *LeaderSearch) RecordNotLeader(now time.Duration, addr, leader string) {
 	r := s.stateOf(addr)
 	r.requestPending, r.unresponsive = false, false
 	s.leaderHint = ""
--- a/seek/seek_test.go
+++ b/seek/seek_test.go
@@ -81,7 +81,7 @@
 			case q.addr == g.newLeader && now >= g.electedAt:
 				return now
 			default:
-				s.NotLeader(now, q.addr, g.knownLeader(now))
+				s.RecordNotLeader(now, q.addr, g.knownLeader(now))
 			}
 		}
 		open = slices.DeleteFunc(open, func(q pendingRequest) bool { return q.endsAt <= now })
@@ -129,12 +129,12 @@
 	g.Expect(addr).To(BeEmpty(), "the hedge delay is not over")
 	addr, _ = s.NextReplica(again, []string{"leader", "other"})
 	g.Expect(addr).To(Equal("other"))
-	s.NotLeader(again, "other", "leader")
+	s.RecordNotLeader(again, "other", "leader")
 	for now := again; now < time.Second; now += time.Millisecond {
 		addr, _ = s.NextReplica(now, []string{"leader", "other"})
 		g.Expect(addr).NotTo(Equal("leader"), "its request is in flight")
 		if addr == "other" {
-			s.NotLeader(now, "other", "leader")
+			s.RecordNotLeader(now, "other", "leader")
 		}
 	}
 }
@@ -147,7 +147,7 @@
 	s.RecordNoResponse(100*time.Millisecond, "a")
 	addr, _ := s.NextReplica(200*time.Millisecond, []string{"a", "b"})
 	g.Expect(addr).To(Equal("b"))
-	s.NotLeader(500*time.Millisecond, "b", "a")
+	s.RecordNotLeader(500*time.Millisecond, "b", "a")
 	addr, _ = s.NextReplica(600*time.Millisecond, []string{"a", "b"})
 	g.Expect(addr).To(Equal("a"))
 }
