--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -72,7 +72,7 @@
 	case a.code == fault.NotLeader:
 		s.RecordNotLeader(now, a.addr, a.leader)
 	default:
-		s.NoQuorum(now, a.addr)
+		s.RecordNoQuorum(now, a.addr)
 	}
 }
 
--- a/seek/seek.go
+++ b/seek/seek.go
@@ -113,7 +113,7 @@
 
 // NoQuorum records that the leader answered but could not commit. All replicas are asked
 // next, since another one may have become the leader.
-func (s *LeaderSearch) NoQuorum(now time.Duration, addr string) {
+func (s *LeaderSearch) RecordNoQuorum(now time.Duration, addr string) {
 	r := s.stateOf(addr)
 	r.requestPending, r.unresponsive = false, false
 	s.leaderHint = ""
