--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -88,7 +88,7 @@
 type contextKey struct{}
 
 // Context stores the connection in the context; it is meant for http.Server.ConnContext.
-func Context(ctx context.Context, c net.Conn) context.Context {
+func ConnContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, contextKey{}, c)
 }
 
--- a/internal/callers/callers_test.go
+++ b/internal/callers/callers_test.go
@@ -23,7 +23,7 @@
 	}
 	ln := NewListener(raw)
 	arrived, left = make(chan string, 64), make(chan string, 64)
-	srv := &http.Server{ConnContext: Context, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	srv := &http.Server{ConnContext: ConnContext, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		gone := make(chan struct{})
 		c := FromContext(r.Context())
 		c.Watch(func() { close(gone) })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -181,7 +181,7 @@
 	}
 	n.wireSrv = wire.NewServer(n.servePeerRequest, wire.ServerOptions{Heartbeat: n.opt.Heartbeat.Duration, Sweep: n.opt.Sweep.Duration, IdleTimeout: connIdleTimeout})
 	n.adminSrv = &http.Server{Handler: n.adminRoutes(), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes}
-	n.httpSrv = &http.Server{Handler: n.callerRoutes(), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTimeout: connIdleTimeout, ConnContext: callers.Context}
+	n.httpSrv = &http.Server{Handler: n.callerRoutes(), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTimeout: connIdleTimeout, ConnContext: callers.ConnContext}
 	n.control = newControlServer(n)
 	n.startTask("gossip", func() { n.gossip.run(lns.udp) })
 	n.serveInBackground("control", func() error { return n.control.serve(lns.control) })
