--- a/claims/claims.go
+++ b/claims/claims.go
@@ -45,7 +45,7 @@
 }
 
 // MaxBody is the largest body stored with an outcome, in bytes.
-const MaxBody = 16 << 10
+const MaxBodyBytes = 16 << 10
 
 // Command is an entry of the replicated log.
 type Command struct {
--- a/internal/node/once.go
+++ b/internal/node/once.go
@@ -163,7 +163,7 @@
 // storeOutcome stores the response for resends; a body beyond claims.MaxBody is left out.
 func (o *keyedAttempt) storeOutcome(resp *response, body []byte) {
 	out := &claims.Outcome{Status: resp.status, ContentType: headerValue(resp.header, "Content-Type"), Body: body}
-	if len(body) > claims.MaxBody {
+	if len(body) > claims.MaxBodyBytes {
 		out.Body, out.Truncated = nil, true
 	}
 	cmd := o.newCommand(claims.OpFinish)
