--- a/claims/claims.go
+++ b/claims/claims.go
@@ -80,7 +80,7 @@
 	// have been executed.
 	OutcomeUnknown
 	// Mismatch means that the key was used for a different request.
-	Mismatch
+	KeyMismatch
 	// Expired means that the key is older than the retention time or at or below the
 	// eviction floor.
 	Expired
@@ -96,7 +96,7 @@
 
 // verdictFaults maps the verdicts that refuse a request to their fault codes.
 var verdictFaults = map[Verdict]fault.Code{
-	Running: fault.KeyRunning, OutcomeUnknown: fault.OutcomeUnknown, Mismatch: fault.KeyMismatch,
+	Running: fault.KeyRunning, OutcomeUnknown: fault.OutcomeUnknown, KeyMismatch: fault.KeyMismatch,
 	Expired: fault.KeyExpired, NotHolder: fault.KeyRunning, Malformed: fault.BadRequest,
 }
 
@@ -240,7 +240,7 @@
 func (st *Store) beginExisting(c *Command, held *claim) Result {
 	switch {
 	case held.Fingerprint != c.Fingerprint:
-		return Result{Verdict: Mismatch}
+		return Result{Verdict: KeyMismatch}
 	case held.Outcome != nil:
 		return Result{Verdict: Replay, Outcome: held.Outcome}
 	case held.Token == c.Token:
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -138,7 +138,7 @@
 	}
 	g.Expect(begin("a", now, 1)).To(gomega.Equal(Granted))
 	g.Expect(begin("b", now+50, 1)).To(gomega.Equal(Running))
-	g.Expect(begin("b", now+50, 2)).To(gomega.Equal(Mismatch))
+	g.Expect(begin("b", now+50, 2)).To(gomega.Equal(KeyMismatch))
 	g.Expect(begin("b", now+200, 1)).To(gomega.Equal(OutcomeUnknown))
 	// The holder reports after its lease expired; its outcome is accepted.
 	out := &Outcome{Status: 201}
--- a/internal/node/once.go
+++ b/internal/node/once.go
@@ -65,7 +65,7 @@
 var verdictText = map[claims.Verdict]string{
 	claims.Running:        "another attempt with this key is in progress",
 	claims.OutcomeUnknown: "the outcome of an earlier attempt with this key is unknown; the request is not executed again",
-	claims.Mismatch:       "the key was used for another request",
+	claims.KeyMismatch:    "the key was used for another request",
 	claims.Expired:        "the key is older than the retention period",
 	claims.Malformed:      "the key must be a UUID of version 7 with the current time",
 }
