--- a/fault/fault.go
+++ b/fault/fault.go
@@ -1,8 +1,8 @@
 // Package fault defines the typed errors of the project.
 //
 // Every failure that leaves a package is an *Error with a Code. The code determines the
-// HTTP status, the exit code of the command-line tool and whether the request may be
-// retried.
+// HTTP status and the exit code of the command-line tools; the code and the Execution
+// decide whether the request may be retried.
 package fault
 
 import (
@@ -144,7 +144,7 @@
 	return codeTable[c].httpStatus
 }
 
-// Exit returns the exit code of the command-line tool for the code.
+// ExitCode returns the exit code of the command-line tools for the code.
 func (c Code) ExitCode() int {
 	if c >= numCodes {
 		return 1
@@ -152,7 +152,7 @@
 	return codeTable[c].exitCode
 }
 
-// Count is the number of codes, for arrays indexed by Code.
+// CodeCount is the number of codes, None included, for arrays indexed by Code.
 const CodeCount = int(numCodes)
 
 // ParseCode returns the code with the given name, and Internal and false if there is
@@ -170,8 +170,8 @@
 type Execution uint8
 
 const (
-	// NotExecuted means that the backend server certainly did not receive the request, so
-	// that any request may be retried.
+	// NotExecuted means that the request was certainly not executed, so that it is safe to
+	// retry. The backend server may have received and rejected it.
 	NotExecuted Execution = iota
 	// ExecutionUnknown means that the request may have been executed.
 	ExecutionUnknown
@@ -195,9 +195,9 @@
 type Error struct {
 	// Code is the kind of failure.
 	Code Code
-	// Run tells whether the request was executed.
+	// Execution tells whether the request was executed.
 	Execution Execution
-	// RetryAfter is the delay before a retry; zero if the failure is final.
+	// RetryAfter is how long the caller should wait before a retry, zero if not stated.
 	RetryAfter time.Duration
 	// Detail is a short description for people.
 	Detail string
@@ -226,7 +226,7 @@
 	return e
 }
 
-// WithRetryAfter sets the delay before a retry and returns e.
+// WithRetryAfter sets RetryAfter and returns e.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
@@ -253,7 +253,7 @@
 	return &Error{Code: Internal, Execution: ExecutionUnknown, Detail: "unexpected failure", Cause: err}
 }
 
-// CodeOf returns the code of err, None for nil.
+// CodeOf returns the code of err: None for nil, Internal if its chain has no *Error.
 func CodeOf(err error) Code {
 	if err == nil {
 		return None
