--- a/route/failing_test.go
+++ b/route/failing_test.go
@@ -82,48 +82,48 @@
 func TestServersThatMissDeadlinesAreAvoidedAndTriedAgain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const (
-		servers, slow  = 10, 4
-		usual          = 150 * time.Millisecond
-		deadline       = 700 * time.Millisecond
-		perSecond      = 200
-		mostMet        = 0.055
-		learn, measure = 3 * time.Second, 6 * time.Second
+		servers, slow     = 10, 4
+		usualLatency      = 150 * time.Millisecond
+		deadline          = 700 * time.Millisecond
+		requestsPerSecond = 200
+		maxSlowShare      = 0.055
+		warmUp, measure   = 3 * time.Second, 6 * time.Second
 	)
 	own := instances("a", servers)
 	s := snapshot(own)
 	r := rng()
-	type ending struct {
+	type pendingRequest struct {
 		at time.Duration
 		in *Instance
 		r  Outcome
 	}
-	var open []ending
-	met, sent := 0, 0
-	for now := time.Duration(0); now < learn+measure; now += time.Second / perSecond {
-		for len(open) > 0 && open[0].at <= now {
-			open[0].in.Observed.RecordOutcome(open[0].at, open[0].r, EjectOptions{ConsecutiveFailures: 1000, Duration: time.Second})
-			open = open[1:]
+	var pending []pendingRequest
+	sentToSlow, sent := 0, 0
+	for now := time.Duration(0); now < warmUp+measure; now += time.Second / requestsPerSecond {
+		for len(pending) > 0 && pending[0].at <= now {
+			pending[0].in.Observed.RecordOutcome(pending[0].at, pending[0].r, EjectOptions{ConsecutiveFailures: 1000, Duration: time.Second})
+			pending = pending[1:]
 		}
 		in, code := s.Pick(query(now), r)
 		g.Expect(code).To(gomega.Equal(fault.None))
 		in.Observed.RecordSend()
-		end := ending{now + usual, in, Outcome{Latency: usual}}
+		end := pendingRequest{now + usualLatency, in, Outcome{Latency: usualLatency}}
 		bad := slices.Index(own, in) < slow
 		if bad {
-			end = ending{now + deadline, in, Outcome{TimedOutAfter: deadline}}
+			end = pendingRequest{now + deadline, in, Outcome{TimedOutAfter: deadline}}
 		}
-		at, _ := slices.BinarySearchFunc(open, end, func(a, b ending) int { return cmp.Compare(a.at, b.at) })
-		open = slices.Insert(open, at, end)
-		if now >= learn {
+		at, _ := slices.BinarySearchFunc(pending, end, func(a, b pendingRequest) int { return cmp.Compare(a.at, b.at) })
+		pending = slices.Insert(pending, at, end)
+		if now >= warmUp {
 			sent++
 			if bad {
-				met++
+				sentToSlow++
 			}
 		}
 	}
-	g.Expect(float64(met) / float64(sent)).To(gomega.BeNumerically("<", mostMet))
+	g.Expect(float64(sentToSlow) / float64(sent)).To(gomega.BeNumerically("<", maxSlowShare))
 	// The slow servers have recovered; after a while each gets its share again.
-	later := learn + measure + 10*time.Second
+	later := warmUp + measure + 10*time.Second
 	for _, in := range own[:slow] {
 		g.Expect(pickShare(s, in, later)).To(gomega.BeNumerically(">", 0.3/servers))
 	}
--- a/route/instance.go
+++ b/route/instance.go
@@ -22,7 +22,7 @@
 	Slots int
 	// Weight scales the instance's share of the load; 1 is normal.
 	Weight float64
-	// Since is when the backend server began to serve, on the picker's clock.
+	// ServingSince is when the backend server began to serve, on the clock of Query.Now.
 	ServingSince time.Duration
 
 	// Observed holds the observations; it is shared by successive snapshots.
@@ -67,8 +67,8 @@
 // unreachable instance gets no requests, even while most other instances are ejected.
 func (o *Observations) SetUnreachable(unreachable bool) { o.unreachable.Store(unreachable) }
 
-// Begin counts a request sent to the instance. A request to an ejected instance is its
-// probe.
+// RecordSend counts a request sent to the instance, until RecordOutcome. A request to an
+// ejected instance is its probe.
 func (o *Observations) RecordSend() {
 	o.inflight.Add(1)
 	if o.Ejected() {
@@ -97,10 +97,10 @@
 	Level rank.Level
 	// InFlight and Limit are the instance's reported load and concurrency limit.
 	InFlight, Limit uint16
-	// Took is the time until the answer, zero without an answer.
+	// Latency is the time until the answer, zero without an answer.
 	Latency time.Duration
-	// Waited is how long the request waited for an answer before it timed out, zero
-	// otherwise.
+	// TimedOutAfter is how long the request waited for an answer before it timed out, zero
+	// if it did not time out.
 	TimedOutAfter time.Duration
 }
 
@@ -108,7 +108,7 @@
 // because the request kinds of a service differ widely in latency.
 const latencyDecay = 0.97
 
-// End records the outcome of a request counted by Begin.
+// RecordOutcome records the outcome of a request counted by RecordSend.
 func (o *Observations) RecordOutcome(now time.Duration, r Outcome, e EjectOptions) {
 	o.inflight.Add(-1)
 	o.probing.Store(false)
@@ -151,14 +151,15 @@
 	maxFailurePenalty = 3
 )
 
-// updateFailureShare updates the moving share of failed attempts. It detects an instance
-// that fails some of its requests but never enough in a row to be ejected.
+// updateFailureShare updates the moving share of failed attempts, which include rejections
+// and slow timeouts. It detects an instance that fails some of its requests but never
+// enough in a row to be ejected.
 func (o *Observations) updateFailureShare(now time.Duration, r Outcome) {
 	x := 0.0
 	if r.Failed || r.Rejected || o.exceededMeanLatency(r) {
 		x = 1
 	} else if o.Ejected() {
-		// A successful probe resets the failure share.
+		// An attempt without failure at an ejected instance resets the failure share.
 		o.failureShareBits.Store(0)
 		return
 	}
@@ -171,7 +172,7 @@
 	o.failureShareAt.Store(int64(now))
 }
 
-// exceededMeanLatency reports whether an unanswered request waited longer than the mean
+// exceededMeanLatency reports whether a request timed out after waiting longer than the mean
 // latency, so that the instance and not a short deadline is to blame. It detects an
 // instance too slow to answer any request before its deadline.
 func (o *Observations) exceededMeanLatency(r Outcome) bool {
@@ -203,9 +204,9 @@
 
 // EjectOptions configures when an instance is ejected and for how long.
 type EjectOptions struct {
-	// Failures is the number of consecutive failures that eject an instance.
+	// ConsecutiveFailures is the number of failures in a row that eject an instance.
 	ConsecutiveFailures int
-	// Time is how long an instance stays ejected before it is probed.
+	// Duration is how long an instance stays ejected before it is probed.
 	Duration time.Duration
 }
 
@@ -261,7 +262,8 @@
 
 // load returns the expected utilisation of the instance: the larger of its reported
 // requests and those that this node has in flight there, divided by its weighted limit,
-// which is reduced while the instance ramps up. Failures add a penalty.
+// which is reduced while the instance ramps up. A small term for this node's own requests
+// breaks ties, and failures add a penalty.
 func (i *Instance) load(now, ramp time.Duration) float64 {
 	word := i.Observed.remoteLoad.Load()
 	reported, limit := float64(word>>16), float64(word&0xffff)
--- a/route/picker.go
+++ b/route/picker.go
@@ -40,7 +40,7 @@
 type Snapshot struct {
 	Services map[string]*Service
 	// UnavailableSince maps the services that lost all their instances to the time of the
-	// loss, on the picker's clock.
+	// loss, on the clock of Query.Now.
 	UnavailableSince map[string]time.Duration
 }
 
@@ -101,7 +101,7 @@
 	Options Options
 	// Avoid is an instance that has just failed this request, or nil.
 	Avoid *Instance
-	// AvoidIfOthers allows Avoid to be chosen if no other instance admits the request.
+	// AvoidIfPossible allows Avoid to be chosen if no other instance admits the request.
 	AvoidIfPossible bool
 	// Allowed restricts the choice to these instances; all are allowed if it is empty.
 	Allowed []*Instance
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -214,14 +214,14 @@
 	own, other := instances("a", 3), instances("b", 3)
 	s, r := snapshot(own, other), rng()
 	q := query(0)
-	been := *other[1]
-	q.Allowed = []*Instance{&been, own[2]}
-	q.Avoid = &been
+	previous := *other[1]
+	q.Allowed = []*Instance{&previous, own[2]}
+	q.Avoid = &previous
 	for range 50 {
 		in, _ := s.Pick(q, r)
 		g.Expect(in).To(gomega.BeIdenticalTo(own[2]))
 	}
-	q.Allowed = []*Instance{&been}
+	q.Allowed = []*Instance{&previous}
 	_, code := s.Pick(q, r)
 	g.Expect(code).To(gomega.Equal(fault.NoBackend))
 	q.AvoidIfPossible = true
