--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -6,8 +6,8 @@
 // Each termination of a backend server is recorded with the fingerprints of the requests
 // that it had in flight. A fingerprint found at several terminations, and at a large
 // enough share of all terminations in the service meanwhile, is quarantined: requests
-// with it are refused for some time. Then one may run again; each further termination
-// lengthens the quarantine.
+// with it are refused for some time. Afterwards they run again; if one of them terminates
+// another server, a longer quarantine follows.
 //
 // Healthy requests that happened to be in flight at several terminations are recognised
 // by their answers, since a request that terminates every server is never answered. One
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -20,8 +20,7 @@
 const (
 	// recentAnswerSlots is the number of slots of a RecentAnswers, a power of two.
 	recentAnswerSlots = 4096
-	// answerLifetime is how long an answer vouches for requests with the same
-	// fingerprint.
+	// answerLifetime is how long a fingerprint counts as answered recently.
 	answerLifetime = 10 * time.Second
 	// answerTimeResolution is the resolution of the times in a RecentAnswers.
 	answerTimeResolution = 100 * time.Millisecond
@@ -40,22 +39,22 @@
 
 // slotAndTag returns the slot of a fingerprint, and the bits of the fingerprint stored in
 // it.
-func (a *RecentAnswers) slotAndTag(m Fingerprint) (*atomic.Uint64, uint64) {
-	return &a.slots[m%recentAnswerSlots], uint64(m) &^ timeMask
+func (a *RecentAnswers) slotAndTag(fp Fingerprint) (*atomic.Uint64, uint64) {
+	return &a.slots[fp%recentAnswerSlots], uint64(fp) &^ timeMask
 }
 
-// Note records that a backend server answered a request with the fingerprints.
-func (a *RecentAnswers) Record(now time.Duration, m Fingerprints) {
-	a.recordFingerprint(now, m.Content)
-	a.recordFingerprint(now, m.Caller)
+// Record records that a backend server answered a request with the fingerprints.
+func (a *RecentAnswers) Record(now time.Duration, fps Fingerprints) {
+	a.recordFingerprint(now, fps.Content)
+	a.recordFingerprint(now, fps.Caller)
 }
 
 // recordFingerprint stores a fingerprint with the time of its answer. It ignores 0.
-func (a *RecentAnswers) recordFingerprint(now time.Duration, m Fingerprint) {
-	if m == 0 {
+func (a *RecentAnswers) recordFingerprint(now time.Duration, fp Fingerprint) {
+	if fp == 0 {
 		return
 	}
-	slot, tag := a.slotAndTag(m)
+	slot, tag := a.slotAndTag(fp)
 	next := tag | uint64(now/answerTimeResolution)&timeMask
 	// Loading first avoids a store that would invalidate the other cores' caches.
 	if slot.Load() != next {
@@ -65,8 +64,8 @@
 
 // AnsweredRecently reports whether a request with the fingerprint was answered within
 // answerLifetime.
-func (a *RecentAnswers) AnsweredRecently(now time.Duration, m Fingerprint) bool {
-	slot, tag := a.slotAndTag(m)
+func (a *RecentAnswers) AnsweredRecently(now time.Duration, fp Fingerprint) bool {
+	slot, tag := a.slotAndTag(fp)
 	v := slot.Load()
 	if v == 0 || v&^timeMask != tag {
 		return false
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -86,13 +86,13 @@
 		}
 	}
 	g.Expect(runs[2]).To(gomega.BeNumerically("<", time.Second))
-	var first5 int
+	var runsInFirst5Min int
 	for _, at := range runs[3:] {
 		if at < 5*time.Minute {
-			first5++
+			runsInFirst5Min++
 		}
 	}
-	g.Expect(first5).To(gomega.BeNumerically("<=", 2))
+	g.Expect(runsInFirst5Min).To(gomega.BeNumerically("<=", 2))
 	g.Expect(len(runs)).To(gomega.BeNumerically("<=", 13))
 	for i := 5; i < len(runs); i++ {
 		g.Expect(runs[i] - runs[i-1]).To(gomega.BeNumerically("<=", maxQuarantine+time.Duration(quarantineJitter*float64(maxQuarantine))+resend))
@@ -119,11 +119,11 @@
 	g := gomega.NewWithT(t)
 	table := newTable()
 	for i := range 60 {
-		marks := []Fingerprint{Fingerprint(5000 + i)}
+		fingerprints := []Fingerprint{Fingerprint(5000 + i)}
 		if i%6 == 0 {
-			marks = append(marks, poison)
+			fingerprints = append(fingerprints, poison)
 		}
-		held, _ := table.RecordTermination(time.Duration(i)*100*time.Millisecond, Termination{Incarnation: fmt.Sprint(i), Service: "f/s", Fingerprints: marks})
+		held, _ := table.RecordTermination(time.Duration(i)*100*time.Millisecond, Termination{Incarnation: fmt.Sprint(i), Service: "f/s", Fingerprints: fingerprints})
 		g.Expect(held).To(gomega.BeEmpty())
 	}
 	g.Expect(table.Terminations(poison)).To(gomega.Equal(10))
@@ -172,15 +172,15 @@
 	}
 	rng := rand.New(rand.NewPCG(3, 4))
 	for i := range 24000 {
-		marks := make([]Fingerprint, 48)
-		for k := range marks {
-			marks[k] = Fingerprint(1 + rng.Uint64N(20000))
+		fingerprints := make([]Fingerprint, 48)
+		for k := range fingerprints {
+			fingerprints[k] = Fingerprint(1 + rng.Uint64N(20000))
 		}
-		table.RecordTermination(time.Second, Termination{Incarnation: "mass-" + fmt.Sprint(i), Service: fmt.Sprint("f/", i%3300), Fingerprints: marks})
+		table.RecordTermination(time.Second, Termination{Incarnation: "mass-" + fmt.Sprint(i), Service: fmt.Sprint("f/", i%3300), Fingerprints: fingerprints})
 	}
 	g.Expect(len(table.serviceTerminations)).To(gomega.BeNumerically("<=", maxServices))
-	for _, ends := range table.serviceTerminations {
-		g.Expect(len(ends)).To(gomega.BeNumerically("<=", maxServiceTerminations))
+	for _, times := range table.serviceTerminations {
+		g.Expect(len(times)).To(gomega.BeNumerically("<=", maxServiceTerminations))
 	}
 	g.Expect(len(table.young)).To(gomega.BeNumerically("<=", generationSize))
 	g.Expect(len(table.old)).To(gomega.BeNumerically("<=", generationSize))
@@ -207,13 +207,13 @@
 func TestRecentAnswersExpire(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var a RecentAnswers
-	m := Fingerprints{Content: 1 << 40, Caller: 3<<40 + 1}
-	g.Expect(a.AnsweredRecently(0, m.Content)).To(gomega.BeFalse())
+	fps := Fingerprints{Content: 1 << 40, Caller: 3<<40 + 1}
+	g.Expect(a.AnsweredRecently(0, fps.Content)).To(gomega.BeFalse())
 	for _, now := range []time.Duration{time.Second, 100 * time.Hour} {
-		a.Record(now, m)
-		g.Expect(a.AnsweredRecently(now, m.Content)).To(gomega.BeTrue())
-		g.Expect(a.AnsweredRecently(now+answerLifetime/2, m.Caller)).To(gomega.BeTrue())
-		g.Expect(a.AnsweredRecently(now+answerLifetime, m.Content)).To(gomega.BeFalse())
+		a.Record(now, fps)
+		g.Expect(a.AnsweredRecently(now, fps.Content)).To(gomega.BeTrue())
+		g.Expect(a.AnsweredRecently(now+answerLifetime/2, fps.Caller)).To(gomega.BeTrue())
+		g.Expect(a.AnsweredRecently(now+answerLifetime, fps.Content)).To(gomega.BeFalse())
 		g.Expect(a.AnsweredRecently(now, 5<<40)).To(gomega.BeFalse(), "another fingerprint in the same slot")
 	}
 	a.Record(0, Fingerprints{Content: 8 << 40})
@@ -228,8 +228,8 @@
 	v := table.View(0)
 	var a RecentAnswers
 	for i := range b.N {
-		m := Fingerprints{Content: Fingerprint(i) << 20, Caller: Fingerprint(i) << 21}
-		v.Remaining(0, m)
-		a.Record(time.Duration(i), m)
+		fps := Fingerprints{Content: Fingerprint(i) << 20, Caller: Fingerprint(i) << 21}
+		v.Remaining(0, fps)
+		a.Record(time.Duration(i), fps)
 	}
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -97,33 +97,33 @@
 // RecordTermination counts the termination of a backend server. It returns the
 // fingerprints whose quarantine starts with it, and false if the termination was not
 // counted because it is already known or too many incarnations are remembered.
-func (t *Table) RecordTermination(now time.Duration, e Termination) (held []QuarantinedRequest, news bool) {
-	if _, known := t.terminatedIncarnations[e.Incarnation]; known || !t.recordIncarnation(now, e) {
+func (t *Table) RecordTermination(now time.Duration, termination Termination) (started []QuarantinedRequest, counted bool) {
+	if _, known := t.terminatedIncarnations[termination.Incarnation]; known || !t.recordIncarnation(now, termination) {
 		return nil, false
 	}
-	for _, m := range e.Fingerprints {
-		if m != 0 && t.countTermination(now, m, e.Service) {
-			held = append(held, t.quarantinedRequest(now, m, t.repeat[m]))
+	for _, fp := range termination.Fingerprints {
+		if fp != 0 && t.countTermination(now, fp, termination.Service) {
+			started = append(started, t.quarantinedRequest(now, fp, t.repeat[fp]))
 		}
 	}
-	return held, true
+	return started, true
 }
 
 // recordIncarnation remembers a terminated incarnation. It returns false if there is no
 // room for it.
-func (t *Table) recordIncarnation(now time.Duration, e Termination) bool {
+func (t *Table) recordIncarnation(now time.Duration, termination Termination) bool {
 	if len(t.terminatedIncarnations) >= maxTerminatedIncarnations {
 		maps.DeleteFunc(t.terminatedIncarnations, func(_ string, at time.Duration) bool { return now-at > terminatedIncarnationLifetime })
 	}
 	if len(t.terminatedIncarnations) >= maxTerminatedIncarnations {
 		return false
 	}
-	t.terminatedIncarnations[e.Incarnation] = now
-	if _, known := t.serviceTerminations[e.Service]; !known && len(t.serviceTerminations) >= maxServices {
+	t.terminatedIncarnations[termination.Incarnation] = now
+	if _, known := t.serviceTerminations[termination.Service]; !known && len(t.serviceTerminations) >= maxServices {
 		clear(t.serviceTerminations)
 	}
-	times := append(t.serviceTerminations[e.Service], now)
-	t.serviceTerminations[e.Service] = times[max(0, len(times)-maxServiceTerminations):]
+	times := append(t.serviceTerminations[termination.Service], now)
+	t.serviceTerminations[termination.Service] = times[max(0, len(times)-maxServiceTerminations):]
 	return true
 }
 
@@ -144,8 +144,8 @@
 
 // countTermination adds a termination to a fingerprint and reports whether it starts a
 // quarantine.
-func (t *Table) countTermination(now time.Duration, m Fingerprint, service string) bool {
-	s := t.suspectOf(m)
+func (t *Table) countTermination(now time.Duration, fp Fingerprint, service string) bool {
+	s := t.suspectOf(fp)
 	if s.terminations > 0 && now-s.lastTermination > suspectLifetime {
 		*s = suspect{}
 	}
@@ -155,9 +155,9 @@
 	s.terminations++
 	s.lastTermination = now
 	if s.terminations > 1 {
-		t.addRepeat(m, s)
+		t.addRepeat(fp, s)
 	}
-	if t.repeat[m] != s || s.terminations < TerminationThreshold || !t.isLikelyCause(s, service) {
+	if t.repeat[fp] != s || s.terminations < TerminationThreshold || !t.isLikelyCause(s, service) {
 		return false
 	}
 	if s.round > 0 && now-s.quarantinedAt < inFlightGrace {
@@ -171,13 +171,13 @@
 
 // suspectOf returns the suspect of a fingerprint, new if unknown, and moves it to the
 // young generation.
-func (t *Table) suspectOf(m Fingerprint) *suspect {
-	if s := t.young[m]; s != nil {
+func (t *Table) suspectOf(fp Fingerprint) *suspect {
+	if s := t.young[fp]; s != nil {
 		return s
 	}
-	s := t.old[m]
+	s := t.old[fp]
 	if s == nil {
-		s = t.repeat[m]
+		s = t.repeat[fp]
 	}
 	if s == nil {
 		s = &suspect{}
@@ -185,29 +185,29 @@
 	if len(t.young) >= generationSize {
 		t.old, t.young = t.young, map[Fingerprint]*suspect{}
 	}
-	t.young[m] = s
+	t.young[fp] = s
 	return s
 }
 
 // addRepeat adds a suspect to the repeat suspects. If there are too many, it replaces the
 // one with the oldest termination that is not in quarantine; if all are, it does nothing.
-func (t *Table) addRepeat(m Fingerprint, s *suspect) {
-	if t.repeat[m] == nil && len(t.repeat) >= maxRepeatSuspects && !t.evictRepeat(s.lastTermination) {
+func (t *Table) addRepeat(fp Fingerprint, s *suspect) {
+	if t.repeat[fp] == nil && len(t.repeat) >= maxRepeatSuspects && !t.evictRepeat(s.lastTermination) {
 		return
 	}
-	t.repeat[m] = s
+	t.repeat[fp] = s
 }
 
 // evictRepeat removes the repeat suspect with the oldest termination among those not in
 // quarantine, and reports whether there was one.
 func (t *Table) evictRepeat(now time.Duration) bool {
 	var oldest Fingerprint
-	for m, s := range t.repeat {
+	for fp, s := range t.repeat {
 		if now < s.quarantinedUntil {
 			continue
 		}
 		if oldest == 0 || s.lastTermination < t.repeat[oldest].lastTermination {
-			oldest = m
+			oldest = fp
 		}
 	}
 	if oldest == 0 {
@@ -233,50 +233,51 @@
 
 // RecordAnswer clears a fingerprint because a backend server answered a request with it.
 // It reports whether the fingerprint had been in quarantine.
-func (t *Table) RecordAnswer(m Fingerprint) bool {
-	s, suspected := t.repeat[m]
-	delete(t.repeat, m)
-	delete(t.young, m)
-	delete(t.old, m)
+func (t *Table) RecordAnswer(fp Fingerprint) bool {
+	s, suspected := t.repeat[fp]
+	delete(t.repeat, fp)
+	delete(t.young, fp)
+	delete(t.old, fp)
 	return suspected && s.round > 0
 }
 
 // Terminations returns the number of terminations of a fingerprint, 0 if fewer than two.
-func (t *Table) Terminations(m Fingerprint) int {
-	if s := t.repeat[m]; s != nil {
+func (t *Table) Terminations(fp Fingerprint) int {
+	if s := t.repeat[fp]; s != nil {
 		return s.terminations
 	}
 	return 0
 }
 
-// Held returns the fingerprints in quarantine.
+// ActiveQuarantines returns the fingerprints in quarantine.
 func (t *Table) ActiveQuarantines(now time.Duration) []QuarantinedRequest {
 	var out []QuarantinedRequest
-	for m, s := range t.repeat {
+	for fp, s := range t.repeat {
 		if now < s.quarantinedUntil {
-			out = append(out, t.quarantinedRequest(now, m, s))
+			out = append(out, t.quarantinedRequest(now, fp, s))
 		}
 	}
 	return out
 }
 
 // quarantinedRequest describes a suspect as other nodes are told of it.
-func (t *Table) quarantinedRequest(now time.Duration, m Fingerprint, s *suspect) QuarantinedRequest {
-	return QuarantinedRequest{Mark: m, Ends: s.terminations, Round: s.round, Left: s.quarantinedUntil - now}
+func (t *Table) quarantinedRequest(now time.Duration, fp Fingerprint, s *suspect) QuarantinedRequest {
+	return QuarantinedRequest{Mark: fp, Ends: s.terminations, Round: s.round, Left: s.quarantinedUntil - now}
 }
 
-// Adopt adds the quarantines of another node to those of a node that has just started.
-func (t *Table) AddQuarantines(now time.Duration, held []QuarantinedRequest) {
-	for _, h := range held {
-		if h.Mark == 0 || h.Left <= 0 {
+// AddQuarantines adds the quarantines reported by another node, for a node that has just
+// started. It ignores those of fingerprints quarantined here as many times or more.
+func (t *Table) AddQuarantines(now time.Duration, reported []QuarantinedRequest) {
+	for _, q := range reported {
+		if q.Mark == 0 || q.Left <= 0 {
 			continue
 		}
-		s := t.suspectOf(h.Mark)
-		if h.Round <= s.round {
+		s := t.suspectOf(q.Mark)
+		if q.Round <= s.round {
 			continue
 		}
-		*s = suspect{terminations: max(h.Ends, TerminationThreshold), round: h.Round, firstTermination: now, lastTermination: now, quarantinedAt: now, quarantinedUntil: now + min(h.Left, maxQuarantine)}
-		t.addRepeat(h.Mark, s)
+		*s = suspect{terminations: max(q.Ends, TerminationThreshold), round: q.Round, firstTermination: now, lastTermination: now, quarantinedAt: now, quarantinedUntil: now + min(q.Left, maxQuarantine)}
+		t.addRepeat(q.Mark, s)
 	}
 }
 
@@ -284,12 +285,12 @@
 // drops those whose lifetime is over.
 func (t *Table) View(now time.Duration) *View {
 	v := &View{entries: make(map[Fingerprint]viewEntry, len(t.repeat))}
-	for m, s := range t.repeat {
+	for fp, s := range t.repeat {
 		if now-s.lastTermination > suspectLifetime && now >= s.quarantinedUntil {
-			delete(t.repeat, m)
+			delete(t.repeat, fp)
 			continue
 		}
-		v.entries[m] = viewEntry{s.terminations, s.quarantinedUntil}
+		v.entries[fp] = viewEntry{s.terminations, s.quarantinedUntil}
 	}
 	return v
 }
@@ -309,15 +310,15 @@
 func (v *View) Empty() bool { return len(v.entries) == 0 }
 
 // IsSuspect reports whether one of the fingerprints has more than one termination.
-func (v *View) IsSuspect(m Fingerprints) bool { return v.Terminations(m) > 0 }
+func (v *View) IsSuspect(fps Fingerprints) bool { return v.Terminations(fps) > 0 }
 
 // Terminations returns the larger number of terminations of the two fingerprints, 0 if
 // both have fewer than two.
-func (v *View) Terminations(m Fingerprints) int {
-	return max(v.entries[m.Content].terminations, v.entries[m.Caller].terminations)
+func (v *View) Terminations(fps Fingerprints) int {
+	return max(v.entries[fps.Content].terminations, v.entries[fps.Caller].terminations)
 }
 
 // Remaining returns how long requests with the fingerprints are refused, 0 if they are not.
-func (v *View) Remaining(now time.Duration, m Fingerprints) time.Duration {
-	return max(0, v.entries[m.Content].quarantinedUntil-now, v.entries[m.Caller].quarantinedUntil-now)
+func (v *View) Remaining(now time.Duration, fps Fingerprints) time.Duration {
+	return max(0, v.entries[fps.Content].quarantinedUntil-now, v.entries[fps.Caller].quarantinedUntil-now)
 }
