--- a/seek/seek.go
+++ b/seek/seek.go
@@ -6,7 +6,8 @@
 	// hedgeDelay is how long a request may go unanswered before another replica is asked
 	// as well: many round trips between failure domains.
 	hedgeDelay = 60 * time.Millisecond
-	// requestInterval is the time between two requests while there is no leader.
+	// requestInterval is the delay of the next request after one that found no leader or
+	// went to an unresponsive replica.
 	requestInterval = 20 * time.Millisecond
 	// unresponsiveHintDelay is how long an unresponsive replica is not asked on another
 	// replica's hint, since replicas that have not noticed its loss still name it as
@@ -95,7 +96,7 @@
 	return !x.unresponsive && y.unresponsive
 }
 
-// NotLeader records that a replica answered that it is not the leader. leader is the one
+// RecordNotLeader records that a replica answered that it is not the leader. leader is the one
 // that it names, "" if none.
 func (s *LeaderSearch) RecordNotLeader(now time.Duration, addr, leader string) {
 	r := s.stateOf(addr)
@@ -111,7 +112,7 @@
 	}
 }
 
-// NoQuorum records that the leader answered but could not commit. All replicas are asked
+// RecordNoQuorum records that the leader answered but could not commit. All replicas are asked
 // next, since another one may have become the leader.
 func (s *LeaderSearch) RecordNoQuorum(now time.Duration, addr string) {
 	r := s.stateOf(addr)
--- a/seek/seek_test.go
+++ b/seek/seek_test.go
@@ -69,9 +69,9 @@
 // findLeader returns when the new leader receives the command.
 func (g *replicaGroup) findLeader(t *testing.T) time.Duration {
 	s := seek.New(g.oldLeader)
-	var open []pendingRequest
+	var pending []pendingRequest
 	for now := time.Duration(0); now < 10*time.Second; now += time.Millisecond {
-		for _, q := range open {
+		for _, q := range pending {
 			if q.endsAt > now {
 				continue
 			}
@@ -84,19 +84,19 @@
 				s.RecordNotLeader(now, q.addr, g.knownLeader(now))
 			}
 		}
-		open = slices.DeleteFunc(open, func(q pendingRequest) bool { return q.endsAt <= now })
+		pending = slices.DeleteFunc(pending, func(q pendingRequest) bool { return q.endsAt <= now })
 		addr, _ := s.NextReplica(now, g.addrs)
 		if addr == "" {
 			continue
 		}
-		if slices.ContainsFunc(open, func(q pendingRequest) bool { return q.addr == addr }) {
+		if slices.ContainsFunc(pending, func(q pendingRequest) bool { return q.addr == addr }) {
 			t.Fatalf("%v: %s has two requests in flight", now, addr)
 		}
 		took := responseTime
 		if g.failed[addr] {
 			took = requestTimeout
 		}
-		open = append(open, pendingRequest{addr, now + took})
+		pending = append(pending, pendingRequest{addr, now + took})
 	}
 	t.Fatal("leader not found")
 	return 0
@@ -109,14 +109,14 @@
 	const groups = 500
 	// The leader is known everywhere a heartbeat after the election; one request interval
 	// and one hedge delay may be added.
-	const most = 200 * time.Millisecond
+	const maxDelay = 200 * time.Millisecond
 	var longest time.Duration
 	for seed := range uint64(groups) {
 		group := newReplicaGroup(rand.New(rand.NewPCG(seed, 1)))
 		longest = max(longest, group.findLeader(t)-group.electedAt)
 	}
 	t.Logf("longest time from the election to the command at the new leader: %v", longest)
-	g.Expect(longest).To(BeNumerically("<", most))
+	g.Expect(longest).To(BeNumerically("<", maxDelay))
 }
 
 // A replica that answers slowly must keep its pending request while the others are asked.
