--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -87,7 +87,7 @@
 
 type contextKey struct{}
 
-// Context stores the connection in the context; it is meant for http.Server.ConnContext.
+// ConnContext stores the connection in the context, for use as http.Server.ConnContext.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, contextKey{}, c)
 }
--- a/internal/callers/callers_test.go
+++ b/internal/callers/callers_test.go
@@ -15,14 +15,14 @@
 
 // serve runs a server whose requests to /wait last until the caller disconnects. It
 // reports the paths of requests that arrived and of those whose caller disconnected.
-func serve(t *testing.T) (addr string, arrived, left chan string) {
+func serve(t *testing.T) (addr string, arrived, disconnected chan string) {
 	t.Helper()
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ln := NewListener(raw)
-	arrived, left = make(chan string, 64), make(chan string, 64)
+	arrived, disconnected = make(chan string, 64), make(chan string, 64)
 	srv := &http.Server{ConnContext: ConnContext, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		gone := make(chan struct{})
 		c := FromContext(r.Context())
@@ -35,7 +35,7 @@
 			case <-gone:
 			case <-r.Context().Done():
 			}
-			left <- r.URL.Path
+			disconnected <- r.URL.Path
 			panic(http.ErrAbortHandler)
 		}
 		_, _ = fmt.Fprintf(w, "%s %d", r.URL.Path, len(body))
@@ -55,7 +55,7 @@
 		}
 	}()
 	t.Cleanup(func() { close(stop); _ = srv.Close() })
-	return raw.Addr().String(), arrived, left
+	return raw.Addr().String(), arrived, disconnected
 }
 
 func dial(t *testing.T, addr string) net.Conn {
@@ -73,18 +73,18 @@
 // A disconnect must be detected while pipelined requests wait unread; net/http alone
 // misses it and the running request goes on.
 func TestACallerThatLeavesWithRequestsBehind(t *testing.T) {
-	for _, behind := range []int{0, 1, 20} {
-		t.Run(fmt.Sprint(behind), func(t *testing.T) {
+	for _, pipelined := range []int{0, 1, 20} {
+		t.Run(fmt.Sprint(pipelined), func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			addr, arrived, left := serve(t)
+			addr, arrived, disconnected := serve(t)
 			c := dial(t, addr)
 			_, err := fmt.Fprintf(c, getRequest, "/wait")
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			g.Eventually(arrived, 5*time.Second).Should(gomega.Receive(gomega.Equal("/wait")))
-			_, err = io.WriteString(c, strings.Repeat(fmt.Sprintf(getRequest, "/next"), behind))
+			_, err = io.WriteString(c, strings.Repeat(fmt.Sprintf(getRequest, "/next"), pipelined))
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			g.Expect(c.Close()).To(gomega.Succeed())
-			g.Eventually(left, 2*time.Second).Should(gomega.Receive())
+			g.Eventually(disconnected, 2*time.Second).Should(gomega.Receive())
 			g.Consistently(arrived, 50*time.Millisecond).ShouldNot(gomega.Receive(), "no pipelined request may run")
 		})
 	}
