--- a/claims/claims.go
+++ b/claims/claims.go
@@ -3,8 +3,8 @@
 //
 // Before a keyed request is sent to a backend server, its key is claimed by a command
 // committed to a quorum. Only the claim's token may finish or release it, so at most one
-// attempt runs a key at a time. A claim neither finished nor released within its lease
-// has an unknown outcome; it is reported as such and never granted again.
+// attempt runs a key at a time. While a claim is neither finished nor released after its
+// lease, other attempts get the verdict OutcomeUnknown and the key is not granted to them.
 //
 // Keys are UUIDs of version 7 (RFC 9562), which contain their creation time. The keys of
 // a kind are evicted in the order of that time, and a floor per kind records how far:
@@ -44,7 +44,7 @@
 	Truncated bool
 }
 
-// MaxBody is the largest body stored with an outcome, in bytes.
+// MaxBodyBytes is the largest body that callers may store with an outcome.
 const MaxBodyBytes = 16 << 10
 
 // Command is an entry of the replicated log.
@@ -79,7 +79,7 @@
 	// OutcomeUnknown means that the lease of another attempt expired; the request may
 	// have been executed.
 	OutcomeUnknown
-	// Mismatch means that the key was used for a different request.
+	// KeyMismatch means that the key was used for a different request.
 	KeyMismatch
 	// Expired means that the key is older than the retention time or at or below the
 	// eviction floor.
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -86,9 +86,9 @@
 			}
 		case 3, 4, 5, 6:
 			tokens++
-			made := now - int64(rapid.IntRange(0, 3).Draw(t, "age"))*700
+			createdMs := now - int64(rapid.IntRange(0, 3).Draw(t, "age"))*700
 			c := Command{
-				Op: OpBegin, Kind: "k", Key: keyAt(made-made%500, rapid.IntRange(0, 2).Draw(t, "n")), Token: fmt.Sprint(tokens),
+				Op: OpBegin, Kind: "k", Key: keyAt(createdMs-createdMs%500, rapid.IntRange(0, 2).Draw(t, "n")), Token: fmt.Sprint(tokens),
 				Fingerprint: 1, NowMs: now, LeaseMs: 300, RetainMs: int64(rapid.SampledFrom([]int{1000, 1000, 2500}).Draw(t, "retain")),
 			}
 			log = append(log, c)
@@ -133,8 +133,8 @@
 	st := New()
 	now := int64(1_790_000_000_000)
 	key := keyAt(now, 1)
-	begin := func(token string, at int64, print uint64) Verdict {
-		return st.Apply(&Command{Op: OpBegin, Kind: "k", Key: key, Token: token, Fingerprint: print, NowMs: at, LeaseMs: 100, RetainMs: 1000}).Verdict
+	begin := func(token string, at int64, fingerprint uint64) Verdict {
+		return st.Apply(&Command{Op: OpBegin, Kind: "k", Key: key, Token: token, Fingerprint: fingerprint, NowMs: at, LeaseMs: 100, RetainMs: 1000}).Verdict
 	}
 	g.Expect(begin("a", now, 1)).To(gomega.Equal(Granted))
 	g.Expect(begin("b", now+50, 1)).To(gomega.Equal(Running))
--- a/internal/node/once.go
+++ b/internal/node/once.go
@@ -160,7 +160,7 @@
 	o.node.writeResponse(w, o.call, resp)
 }
 
-// storeOutcome stores the response for resends; a body beyond claims.MaxBody is left out.
+// storeOutcome stores the response for resends; a body beyond claims.MaxBodyBytes is left out.
 func (o *keyedAttempt) storeOutcome(resp *response, body []byte) {
 	out := &claims.Outcome{Status: resp.status, ContentType: headerValue(resp.header, "Content-Type"), Body: body}
 	if len(body) > claims.MaxBodyBytes {
