--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -21,7 +21,7 @@
 	clients sync.Map // address -> *wire.Client
 	// unreachable holds the addresses that cannot be reached, each with the routing
 	// observations of its instance.
-	unreachable sync.Map // address -> *route.Observed
+	unreachable sync.Map // address -> *route.Observations
 }
 
 // markUnreachable records that the node at an address cannot be reached. It gets no requests
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -117,7 +117,7 @@
 
 // Do sends a request and waits for the head of its answer on the caller's
 // goroutine. whole is a body in memory; if it is nil, stream is read for
-// req.BodyLen bytes or to its end. The error is a *fault.Error; its Run is
+// req.BodyLen bytes or to its end. The error is a *fault.Error; its Execution is
 // RunNo only if the peer cannot have read the whole request frame.
 func (c *Client) Do(s *scope.Scope, req *Request, whole []byte, stream io.Reader) (*Answer, error) {
 	conn, err := c.get()
