--- a/cmd/umberctl/main.go
+++ b/cmd/umberctl/main.go
@@ -34,7 +34,7 @@
 	if err := c.actions[name](out); err != nil {
 		e := fault.From(err)
 		fmt.Fprintln(os.Stderr, "umberctl:", err)
-		os.Exit(e.Code.Exit())
+		os.Exit(e.Code.ExitCode())
 	}
 }
 
--- a/internal/fleetmodel/node.go
+++ b/internal/fleetmodel/node.go
@@ -163,7 +163,7 @@
 	sim := n.sim
 	c.retryState.Attempts++
 	q := route.Query{
-		Service: c.kind.Service, Rank: c.rank, Depth: c.depth, Now: sim.now, Avoid: c.avoid, AvoidIfOthers: c.lastCode == fault.Rejected,
+		Service: c.kind.Service, Rank: c.rank, Depth: c.depth, Now: sim.now, Avoid: c.avoid, AvoidIfPossible: c.lastCode == fault.Rejected,
 		Options: route.Options{SpillAt: sim.scenario.Policy.SpillAt, EjectMax: sim.scenario.Policy.EjectMax, Ramp: sim.scenario.Policy.Ramp},
 	}
 	if c.retryState.MaxOffered > 0 && c.retryState.Offered >= c.retryState.MaxOffered {
@@ -174,18 +174,18 @@
 		n.completeAttempt(c, nil, outcome{code: code, execution: fault.NotExecuted, admissionLevel: rank.Count / 2})
 		return
 	}
-	in.Observed.Begin()
+	in.Observed.RecordSend()
 	if in.ID == n.id {
 		e := n.accept(c, c.retryPool, c.isRetry, func(o outcome) {
 			c.cancelAttempt = nil
 			n.pathLevels(c).Observe(c.rootKind.Name, c.kind.Service, o.pathLevel, sim.now)
-			o.report.Took = 0
-			in.Observed.End(sim.now, o.report, sim.ejectOptions())
+			o.report.Latency = 0
+			in.Observed.RecordOutcome(sim.now, o.report, sim.ejectOptions())
 			n.completeAttempt(c, in, o)
 		})
 		if !e.completed {
 			c.cancelAttempt = func() {
-				in.Observed.End(sim.now, route.Outcome{}, sim.ejectOptions())
+				in.Observed.RecordOutcome(sim.now, route.Outcome{}, sim.ejectOptions())
 				e.cancel()
 			}
 		}
@@ -217,9 +217,9 @@
 		} else {
 			c.retryPool.SettleLease(lease, o.retriesSpent)
 			n.pathLevels(c).Observe(c.rootKind.Name, c.kind.Service, o.pathLevel, sim.now)
-			o.report.Took = sim.now - startedAt
+			o.report.Latency = sim.now - startedAt
 		}
-		in.Observed.End(sim.now, o.report, sim.ejectOptions())
+		in.Observed.RecordOutcome(sim.now, o.report, sim.ejectOptions())
 		n.completeAttempt(c, in, o)
 	}
 	c.cancelAttempt = func() {
@@ -228,7 +228,7 @@
 		}
 		pending = false
 		c.retryPool.ForfeitLease(lease)
-		in.Observed.End(sim.now, route.Outcome{Waited: sim.now - startedAt}, sim.ejectOptions())
+		in.Observed.RecordOutcome(sim.now, route.Outcome{TimedOutAfter: sim.now - startedAt}, sim.ejectOptions())
 		sim.schedule(latency, func() {
 			if e != nil {
 				e.cancel()
--- a/internal/fleetmodel/simulation.go
+++ b/internal/fleetmodel/simulation.go
@@ -71,7 +71,7 @@
 }
 
 func (sim *simulation) ejectOptions() route.EjectOptions {
-	return route.EjectOptions{Failures: sim.scenario.Policy.EjectFailures, Time: sim.scenario.Policy.EjectTime}
+	return route.EjectOptions{ConsecutiveFailures: sim.scenario.Policy.EjectFailures, Duration: sim.scenario.Policy.EjectTime}
 }
 
 // createNodes creates and starts the nodes with their servers.
@@ -130,7 +130,7 @@
 		}
 		// In the past, so that no server is in its ramp-up at the start.
 		in := &route.Instance{
-			ID: n.id, Domain: strconv.Itoa(n.domain), Slots: n.server.spec.Slots, Weight: 1, Since: -time.Hour, Observed: &route.Observations{},
+			ID: n.id, Domain: strconv.Itoa(n.domain), Slots: n.server.spec.Slots, Weight: 1, ServingSince: -time.Hour, Observed: &route.Observations{},
 		}
 		domains[name][n.domain] = append(domains[name][n.domain], in)
 	}
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -65,7 +65,7 @@
 		if mayHaveTerminatedBackend(ferr) {
 			c.brokenAttempts++
 		}
-		c.mayHaveExecuted = c.mayHaveExecuted || ferr == nil || ferr.Run != fault.NotExecuted
+		c.mayHaveExecuted = c.mayHaveExecuted || ferr == nil || ferr.Execution != fault.NotExecuted
 		c.recordOffer(in, ferr)
 		if ferr == nil && !n.isRetryableResponse(c, resp) {
 			return n.unwrapRefusal(c, resp)
@@ -76,7 +76,7 @@
 			}
 			if c.mayHaveExecuted {
 				// An earlier attempt may have been executed, even if the last one was not.
-				ferr.Run = fault.ExecutionUnknown
+				ferr.Execution = fault.ExecutionUnknown
 			}
 			return nil, ferr
 		}
@@ -189,7 +189,7 @@
 	}
 	f := retry.Failure{InstanceChosen: in != nil}
 	if e != nil {
-		f.Code, f.Execution = e.Code, e.Run
+		f.Code, f.Execution = e.Code, e.Execution
 	}
 	switch retry.Decide(n.retryState(c), f) {
 	case retry.RetryUncharged:
@@ -226,7 +226,7 @@
 
 // recordOffer records the instance if its backend server was offered the call.
 func (c *call) recordOffer(in *route.Instance, e *fault.Error) {
-	offered := e == nil || e.Run != fault.NotExecuted || e.Code == fault.Rejected
+	offered := e == nil || e.Execution != fault.NotExecuted || e.Code == fault.Rejected
 	if in != nil && offered && !in.IsAnyOf(c.offeredTo) {
 		c.offeredTo = append(c.offeredTo, in)
 	}
@@ -246,7 +246,7 @@
 	c.attempts++
 	now := n.clock()
 	q := route.Query{
-		Service: c.service, Rank: c.rank, Depth: c.depth, Now: now, Avoid: c.avoidInstance, AvoidIfOthers: c.lastFailure == fault.Rejected, Allowed: c.allowedInstances(),
+		Service: c.service, Rank: c.rank, Depth: c.depth, Now: now, Avoid: c.avoidInstance, AvoidIfPossible: c.lastFailure == fault.Rejected, Allowed: c.allowedInstances(),
 		Options: route.Options{SpillAt: c.policy.SpillAt, EjectMax: c.policy.EjectMax, Ramp: c.policy.Ramp},
 	}
 	if c.policy.Mode != admission.ModeFull {
@@ -256,12 +256,12 @@
 	if code != fault.None {
 		return nil, nil, c.refusal(code, "no instance of "+c.service+" accepts this request", rank.Count/2)
 	}
-	in.Observed.Begin()
+	in.Observed.RecordSend()
 	if in.ID == n.id {
 		resp, ferr := n.runOnLocalBackend(c, c.retryBudget)
 		outcome := n.localAttemptOutcome(resp, ferr)
 		n.pathLevelsFor(c).Observe(c.rootTarget, c.service, n.maxLevelBelow(c, outcome.Level), n.clock())
-		in.Observed.End(n.clock(), outcome, n.ejectOptions(c))
+		in.Observed.RecordOutcome(n.clock(), outcome, n.ejectOptions(c))
 		return resp, in, ferr
 	}
 	resp, ferr := n.sendToPeer(c, in, now)
@@ -301,7 +301,7 @@
 
 // ejectOptions returns the settings for ejecting failing instances.
 func (n *Node) ejectOptions(c *call) route.EjectOptions {
-	return route.EjectOptions{Failures: c.policy.EjectFailures, Time: c.policy.EjectTime}
+	return route.EjectOptions{ConsecutiveFailures: c.policy.EjectFailures, Duration: c.policy.EjectTime}
 }
 
 // localAttemptOutcome returns the outcome of an attempt at the local backend server for
@@ -345,13 +345,13 @@
 		ferr := fault.From(err)
 		outcome := route.Outcome{Failed: isInstanceFailure(nil, ferr)}
 		if ferr.Code == fault.Deadline {
-			outcome.Waited = n.clock() - now
+			outcome.TimedOutAfter = n.clock() - now
 		}
-		in.Observed.End(n.clock(), outcome, n.ejectOptions(c))
+		in.Observed.RecordOutcome(n.clock(), outcome, n.ejectOptions(c))
 		if isInstanceFailure(nil, ferr) {
 			n.reportEjection(in, ferr)
 		}
-		if ferr.Code == fault.PeerSilent || ferr.Code == fault.PeerLost && ferr.Run == fault.NotExecuted {
+		if ferr.Code == fault.PeerSilent || ferr.Code == fault.PeerLost && ferr.Execution == fault.NotExecuted {
 			n.peers.markUnreachable(in.Addr, in.Observed)
 		}
 		return nil, ferr
@@ -363,12 +363,12 @@
 	var ferr *fault.Error
 	if r.Code != fault.None {
 		wireResp.Close()
-		ferr = &fault.Error{Code: r.Code, Run: r.Execution, RetryAfter: r.RetryAfter, Detail: r.Detail}
+		ferr = &fault.Error{Code: r.Code, Execution: r.Execution, RetryAfter: r.RetryAfter, Detail: r.Detail}
 		resp = nil
 	}
-	in.Observed.End(n.clock(), route.Outcome{
+	in.Observed.RecordOutcome(n.clock(), route.Outcome{
 		Failed: isInstanceFailure(resp, ferr), Rejected: r.Code == fault.Rejected, Draining: r.Code == fault.Draining,
-		HasLoad: true, Level: r.Level, InFlight: r.InFlight, Limit: r.Limit, Took: n.clock() - now,
+		HasLoad: true, Level: r.Level, InFlight: r.InFlight, Limit: r.Limit, Latency: n.clock() - now,
 	}, n.ejectOptions(c))
 	return resp, ferr
 }
@@ -392,7 +392,7 @@
 	reply.Limit = uint16(min(load.limit, 1<<16-1))
 	if ferr != nil {
 		n.logFailedPeerRequest(c, ferr)
-		reply.Code, reply.Execution, reply.RetryAfter, reply.Detail = ferr.Code, ferr.Run, ferr.RetryAfter, ferr.Error()
+		reply.Code, reply.Execution, reply.RetryAfter, reply.Detail = ferr.Code, ferr.Execution, ferr.RetryAfter, ferr.Error()
 		_ = x.Reply(reply, nil, nil)
 		return
 	}
--- a/internal/node/idempotency.go
+++ b/internal/node/idempotency.go
@@ -55,7 +55,7 @@
 			ferr.RetryAfter = retry.RetryAfter(0, rand.Float64())
 		}
 		if res.Verdict == claims.Running || res.Verdict == claims.OutcomeUnknown {
-			ferr.Run = fault.ExecutionUnknown
+			ferr.Execution = fault.ExecutionUnknown
 		}
 		n.refuse(w, c, ferr)
 	}
@@ -65,7 +65,7 @@
 var verdictText = map[claims.Verdict]string{
 	claims.Running:        "another attempt with this key is in progress",
 	claims.OutcomeUnknown: "the outcome of an earlier attempt with this key is unknown; the request is not executed again",
-	claims.Mismatch:       "the key was used for another request",
+	claims.KeyMismatch:    "the key was used for another request",
 	claims.Expired:        "the key is older than the retention period",
 	claims.Malformed:      "the key must be a UUID of version 7 with the current time",
 }
@@ -107,7 +107,7 @@
 	if ferr == nil {
 		return res, nil
 	}
-	if ferr.Run != fault.NotExecuted {
+	if ferr.Execution != fault.NotExecuted {
 		go o.releaseKey()
 	}
 	// The request was not sent to a backend server under this token.
@@ -139,7 +139,7 @@
 func (o *keyedAttempt) execute(w http.ResponseWriter) {
 	resp, ferr := o.node.dispatch(o.call)
 	if ferr != nil {
-		if ferr.Run == fault.NotExecuted {
+		if ferr.Execution == fault.NotExecuted {
 			o.releaseKey()
 		}
 		o.node.refuse(w, o.call, ferr)
@@ -160,10 +160,10 @@
 	o.node.writeResponse(w, o.call, resp)
 }
 
-// storeOutcome stores the response for resends; a body beyond claims.MaxBody is left out.
+// storeOutcome stores the response for resends; a body beyond claims.MaxBodyBytes is left out.
 func (o *keyedAttempt) storeOutcome(resp *response, body []byte) {
 	out := &claims.Outcome{Status: resp.status, ContentType: headerValue(resp.header, "Content-Type"), Body: body}
-	if len(body) > claims.MaxBody {
+	if len(body) > claims.MaxBodyBytes {
 		out.Body, out.Truncated = nil, true
 	}
 	cmd := o.newCommand(claims.OpFinish)
--- a/internal/node/membership_view.go
+++ b/internal/node/membership_view.go
@@ -185,7 +185,7 @@
 		used[id] = true
 		addrs[addr] = true
 		state := b.stateOf(id, incarnation)
-		in := &route.Instance{ID: id, Addr: addr, Domain: domain, Slots: slots, Weight: weight, Since: state.since, Observed: state.observed}
+		in := &route.Instance{ID: id, Addr: addr, Domain: domain, Slots: slots, Weight: weight, ServingSince: state.since, Observed: state.observed}
 		in.Observed.SetDraining(false)
 		return in
 	}
--- a/internal/node/quarantine_gossip.go
+++ b/internal/node/quarantine_gossip.go
@@ -35,7 +35,7 @@
 		return false
 	}
 	fingerprint := quarantine.Fingerprint(a.Mark)
-	q.responses.Note(q.n.clock(), quarantine.Fingerprints{Content: fingerprint})
+	q.responses.Record(q.n.clock(), quarantine.Fingerprints{Content: fingerprint})
 	q.clearFingerprint(fingerprint)
 	q.rebuildView()
 	return true
@@ -140,7 +140,7 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.table.Held(q.n.clock())
+	return q.table.ActiveQuarantines(q.n.clock())
 }
 
 // adoptQuarantines takes over the active quarantines of another node.
@@ -150,7 +150,7 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.table.Adopt(q.n.clock(), active)
+	q.table.AddQuarantines(q.n.clock(), active)
 	q.rebuildView()
 }
 
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -70,9 +70,9 @@
 	case a.err != nil:
 		s.RecordNoResponse(now, a.addr)
 	case a.code == fault.NotLeader:
-		s.NotLeader(now, a.addr, a.leader)
+		s.RecordNotLeader(now, a.addr, a.leader)
 	default:
-		s.NoQuorum(now, a.addr)
+		s.RecordNoQuorum(now, a.addr)
 	}
 }
 
@@ -90,7 +90,7 @@
 	found := false
 	unanswered := n.askLeader(id, wait, ask, func(a replicaResponse) bool {
 		if a.err != nil {
-			uncertain = uncertain || fault.From(a.err).Run != fault.NotExecuted
+			uncertain = uncertain || fault.From(a.err).Execution != fault.NotExecuted
 			return false
 		}
 		reply := a.reply.(*control.SubmitReply)
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -274,7 +274,7 @@
 	r.Detail = d.string()
 	r.BodyLen = d.varint()
 	r.Header = d.fields()
-	if int(r.Code) >= fault.Count || r.Execution > fault.Executed || r.BodyLen < Streamed || r.Level > rank.Count || r.PathLevel > rank.Count {
+	if int(r.Code) >= fault.CodeCount || r.Execution > fault.Executed || r.BodyLen < Streamed || r.Level > rank.Count || r.PathLevel > rank.Count {
 		d.failed = true
 	}
 	return d.err()
--- a/route/picker.go
+++ b/route/picker.go
@@ -40,7 +40,7 @@
 type Snapshot struct {
 	Services map[string]*Service
 	// UnavailableSince maps the services that lost all their instances to the time of the
-	// loss, on the picker's clock.
+	// loss, on the clock of Query.Now.
 	UnavailableSince map[string]time.Duration
 }
 
@@ -101,8 +101,8 @@
 	Options Options
 	// Avoid is an instance that has just failed this request, or nil.
 	Avoid *Instance
-	// AvoidIfOthers allows Avoid to be chosen if no other instance admits the request.
-	AvoidIfOthers bool
+	// AvoidIfPossible allows Avoid to be chosen if no other instance admits the request.
+	AvoidIfPossible bool
 	// Allowed restricts the choice to these instances; all are allowed if it is empty.
 	Allowed []*Instance
 }
@@ -111,7 +111,7 @@
 // NoBackend, or Overload if admission levels shed the rank of the request.
 func (s *Snapshot) Pick(q *Query, r Rand) (*Instance, fault.Code) {
 	in, code := s.pick(q, r)
-	if in != nil || q.Avoid == nil || !q.AvoidIfOthers {
+	if in != nil || q.Avoid == nil || !q.AvoidIfPossible {
 		return in, code
 	}
 	all := *q
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -18,7 +18,7 @@
 func instances(domain string, n int) []*Instance {
 	var out []*Instance
 	for i := range n {
-		out = append(out, &Instance{ID: fmt.Sprintf("%s%d", domain, i), Domain: domain, Slots: 10, Weight: 1, Since: servingSinceLongAgo, Observed: &Observations{}})
+		out = append(out, &Instance{ID: fmt.Sprintf("%s%d", domain, i), Domain: domain, Slots: 10, Weight: 1, ServingSince: servingSinceLongAgo, Observed: &Observations{}})
 	}
 	return out
 }
@@ -52,8 +52,8 @@
 	for busy := 7; busy <= 10; busy++ {
 		own, other := instances("a", 3), instances("b", 3)
 		for _, in := range own {
-			in.Observed.Begin()
-			in.Observed.End(0, Outcome{HasLoad: true, InFlight: uint16(busy), Limit: 10}, EjectOptions{Failures: 5})
+			in.Observed.RecordSend()
+			in.Observed.RecordOutcome(0, Outcome{HasLoad: true, InFlight: uint16(busy), Limit: 10}, EjectOptions{ConsecutiveFailures: 5})
 		}
 		s, r, spilled := snapshot(own, other), rng(), 0
 		for range 1000 {
@@ -91,10 +91,10 @@
 	own := instances("a", 4)
 	s, r := snapshot(own), rng()
 	bad := own[0]
-	e := EjectOptions{Failures: 3, Time: time.Second}
+	e := EjectOptions{ConsecutiveFailures: 3, Duration: time.Second}
 	for range 3 {
-		bad.Observed.Begin()
-		bad.Observed.End(0, Outcome{Failed: true}, e)
+		bad.Observed.RecordSend()
+		bad.Observed.RecordOutcome(0, Outcome{Failed: true}, e)
 	}
 	picks := func(now time.Duration) int {
 		n := 0
@@ -107,9 +107,9 @@
 	}
 	g.Expect(picks(500 * time.Millisecond)).To(gomega.BeZero())
 	g.Expect(picks(1100 * time.Millisecond)).To(gomega.BeNumerically(">", 0))
-	bad.Observed.Begin()
+	bad.Observed.RecordSend()
 	g.Expect(picks(1100 * time.Millisecond)).To(gomega.BeZero())
-	bad.Observed.End(1100*time.Millisecond, Outcome{HasLoad: true, Limit: 10, Took: time.Millisecond}, e)
+	bad.Observed.RecordOutcome(1100*time.Millisecond, Outcome{HasLoad: true, Limit: 10, Latency: time.Millisecond}, e)
 	g.Expect(picks(1200 * time.Millisecond)).To(gomega.BeNumerically(">", 50))
 }
 
@@ -117,8 +117,8 @@
 	g := gomega.NewWithT(t)
 	own := instances("a", 4)
 	for _, in := range own {
-		in.Observed.Begin()
-		in.Observed.End(0, Outcome{Failed: true}, EjectOptions{Failures: 1, Time: time.Hour})
+		in.Observed.RecordSend()
+		in.Observed.RecordOutcome(0, Outcome{Failed: true}, EjectOptions{ConsecutiveFailures: 1, Duration: time.Hour})
 	}
 	_, code := snapshot(own).Pick(query(0), rng())
 	g.Expect(code).To(gomega.Equal(fault.None))
@@ -127,10 +127,10 @@
 func TestNewInstanceRampsUp(t *testing.T) {
 	g := gomega.NewWithT(t)
 	own := instances("a", 2)
-	own[1].Since = 0
+	own[1].ServingSince = 0
 	for _, in := range own {
-		in.Observed.Begin()
-		in.Observed.End(0, Outcome{HasLoad: true, InFlight: 1, Limit: 10, Took: time.Millisecond}, EjectOptions{Failures: 5})
+		in.Observed.RecordSend()
+		in.Observed.RecordOutcome(0, Outcome{HasLoad: true, InFlight: 1, Limit: 10, Latency: time.Millisecond}, EjectOptions{ConsecutiveFailures: 5})
 	}
 	s, r := snapshot(own), rng()
 	share := func(now time.Duration) int {
@@ -157,11 +157,11 @@
 		other := instances("b", rapid.IntRange(1, 4).Draw(t, "other"))
 		for _, in := range append(append([]*Instance(nil), own...), other...) {
 			in.Observed.SetDraining(rapid.Bool().Draw(t, "draining"))
-			in.Observed.Begin()
-			in.Observed.End(0, Outcome{
+			in.Observed.RecordSend()
+			in.Observed.RecordOutcome(0, Outcome{
 				Failed: rapid.Bool().Draw(t, "failed"), HasLoad: true, Limit: 10,
 				InFlight: uint16(rapid.IntRange(0, 12).Draw(t, "load")), Level: rank.Level(rapid.IntRange(0, rank.Count).Draw(t, "level")),
-			}, EjectOptions{Failures: 1, Time: time.Second})
+			}, EjectOptions{ConsecutiveFailures: 1, Duration: time.Second})
 		}
 		q := query(time.Millisecond)
 		q.Avoid = other[0]
@@ -214,17 +214,17 @@
 	own, other := instances("a", 3), instances("b", 3)
 	s, r := snapshot(own, other), rng()
 	q := query(0)
-	been := *other[1]
-	q.Allowed = []*Instance{&been, own[2]}
-	q.Avoid = &been
+	previous := *other[1]
+	q.Allowed = []*Instance{&previous, own[2]}
+	q.Avoid = &previous
 	for range 50 {
 		in, _ := s.Pick(q, r)
 		g.Expect(in).To(gomega.BeIdenticalTo(own[2]))
 	}
-	q.Allowed = []*Instance{&been}
+	q.Allowed = []*Instance{&previous}
 	_, code := s.Pick(q, r)
 	g.Expect(code).To(gomega.Equal(fault.NoBackend))
-	q.AvoidIfOthers = true
+	q.AvoidIfPossible = true
 	in, _ := s.Pick(q, r)
 	g.Expect(in).To(gomega.BeIdenticalTo(other[1]))
 }
