--- a/cmd/umberbench/soak.go
+++ b/cmd/umberbench/soak.go
@@ -25,7 +25,7 @@
 	// stalls injects disk stalls. poison sends a request that terminates backend
 	// servers after the faults.
 	stalls, poison bool
-	// replayFailures runs soak.Failures in place of the seeds.
+	// replayFailures runs soak.KnownFailures in place of the seeds.
 	replayFailures bool
 	// reportFile receives the reports as JSON; "" writes none.
 	reportFile string
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -13,7 +13,7 @@
 const faultDuration = 8 * time.Second
 
 // soakSeeds are the seeds of runs without disk stalls; the plan of 102 has most kinds
-// of steps. soak.Failures lists the seeds that once broke a promise.
+// of steps. soak.KnownFailures lists the seeds that once broke a promise.
 var soakSeeds = []uint64{102}
 
 // stallSeeds are the seeds of runs with disk stalls.
--- a/internal/harness/harness.go
+++ b/internal/harness/harness.go
@@ -297,7 +297,7 @@
 	return resp.Body.Close()
 }
 
-// Work returns the work that a stand-in did, by request id.
+// RequestStats returns the statistics that a stand-in keeps of each request, by request id.
 func (s *Server) RequestStats() (map[string]standin.RequestStats, error) {
 	resp, err := http.Get("http://" + s.Addr + "/_standin/work")
 	if err != nil {
--- a/internal/soak/poison.go
+++ b/internal/soak/poison.go
@@ -35,7 +35,7 @@
 }
 
 // crashOn reports whether a request crashes its server and records the execution; it
-// is used as standin.Options.EndsOn.
+// is used as standin.Options.CrashOn.
 func (p *poisonExecutions) crashOn(path string, _ []byte) bool {
 	if !strings.HasSuffix(path, poisonPath) {
 		return false
--- a/repair/availability_test.go
+++ b/repair/availability_test.go
@@ -138,7 +138,7 @@
 // isReachable reports whether a replica runs and is connected to the others.
 func (f *simGroup) isReachable(r *simReplica) bool { return r.running && !r.frozen && !r.isolated }
 
-// step advances the simulation by one tick.
+// advance runs the simulation for one tick.
 func (f *simGroup) advance() {
 	f.clock += simTick
 	msgs := f.inFlight
